--- a/src/owner-change.c
+++ b/src/owner-change.c
@@ -1,8 +1,9 @@
 /**
  * @file owner-change.c
- * The change of primary: settle what is open on the old one if it lives, make sure that nobody else
- * sends to it, choose the newest replica, write the choice to the record, order the promotion, and
- * wait until the chosen member leads. A step that fails goes back to the one that can mend it.
+ * State machine of a change of primary. A planned change lets transactions on the old primary
+ * finish first. Every change then fences the other senders, chooses the replica with the newest
+ * log, writes the choice to the record, orders the promotion, and waits until the chosen member is
+ * the primary. A step that fails returns to an earlier state that can repair it.
  */
 #include "owner.h"
 
@@ -13,68 +14,85 @@
 
 #include <string.h>
 
-/** Transactions on a primary that leaves may go on for so long before they are rolled back. */
-#define SETTLE_US (120 * USEC_PER_MSEC)
-/** After a planned change was called off. */
+/**
+ * In a planned change, transactions on the old primary may run this long before they are rolled
+ * back.
+ */
+#define SETTLE_TIMEOUT_US (120 * USEC_PER_MSEC)
+/** Pause before the next attempt after a planned change was cancelled or not recorded. */
 #define PLANNED_PAUSE_US (1 * USEC_PER_SEC)
 /**
- * A primary that answers and is on no list is given this long to list itself again: after a data
- * centre was cut off its members' entries have lapsed, and they come back within two seconds.
+ * How long a primary that answers but is missing from the configuration may take to be listed
+ * again. After its data centre was cut off, the entries of its members have expired; they are back
+ * within two seconds.
+ */
+#define UNLISTED_GRACE_US (2500 * USEC_PER_MSEC)
+/**
+ * Fraction of the leave time after which a leaving member gets no more statements, even if its
+ * group is then without a primary. The rest covers late arrival of the configuration at this VM and
+ * statements in flight.
+ */
+#define LEAVE_FRACTION 0.75
+/**
+ * Like LEAVE_FRACTION, for a member whose data centre is evacuated, which this VM learns from the
+ * configuration.
  */
-#define UNLISTED_US (2500 * USEC_PER_MSEC)
+#define EVACUATE_FRACTION 0.6
 /**
- * Part of the time that a leaving member may still get statements, after which its group does
- * without a primary rather than go on with it. The rest is for news that came late to this VM and
- * for a statement that is on its way.
+ * Longest age of a probe result used to plan a change. The choice is checked again before the
+ * promotion is ordered.
  */
-#define LEAVE_PART 0.75
-/** The same for one whose data centre is evacuated, which is told with the configuration. */
-#define EVACUATE_PART 0.6
-/** Looks that a planned change is chosen by; the choice is checked again before it is ordered. */
-#define PLAN_LOOK_FRESH_US (1500 * USEC_PER_MSEC)
-/** Answer to the order. */
+#define PLAN_PROBE_FRESH_US (1500 * USEC_PER_MSEC)
+/** Time limit for the answer to a promotion order. */
 #define ORDER_TIMEOUT_US (600 * USEC_PER_MSEC)
-/** The users' databases take a second to promote; after this another try is made. */
-#define AWAIT_US (2500 * USEC_PER_MSEC)
-/** Senders are asked again to stop after this. */
+/**
+ * How long to wait for a promotion to take effect before another attempt. The databases take about
+ * one second to promote.
+ */
+#define AWAIT_TIMEOUT_US (2500 * USEC_PER_MSEC)
+/** Pause before other senders are asked again to stop, and before a promotion order is repeated. */
 #define FENCE_RETRY_US (200 * USEC_PER_MSEC)
-/** No primary found for so long after a claim: one has to be made. */
-#define FIND_US (700 * USEC_PER_MSEC)
+/** How long to look for a primary after a claim before one is promoted. */
+#define FIND_TIMEOUT_US (700 * USEC_PER_MSEC)
 /**
- * The same for a group that nothing was ever written to: when the whole system starts, members list
- * themselves over two seconds, and the primary may be the last.
+ * Like FIND_TIMEOUT_US, for a group that was never written to. When the whole system starts,
+ * members register over two seconds, and the primary may be the last.
  */
-#define FIND_FIRST_US (3 * USEC_PER_SEC)
+#define FIND_INITIAL_TIMEOUT_US (3 * USEC_PER_SEC)
 
-static bool is_over(int64_t since_us, unsigned ms, double part, int64_t now)
+static bool exceeds_fraction(int64_t since_us, unsigned ms, double fraction, int64_t now)
 {
-	return now - since_us > (int64_t)(ms * (double)USEC_PER_MSEC * part);
+	return now - since_us > (int64_t)(ms * (double)USEC_PER_MSEC * fraction);
 }
 
-bool change_overstays(const struct owner_member *m, int64_t now)
+bool change_exceeds_leave_time(const struct owner_member *m, int64_t now)
 {
 	const struct settings *set = m->g->o->service.kernel->settings;
 
 	if (!m->listed)
-		return is_over(m->unlisted_us, set->leave_ms, LEAVE_PART, now);
-	if (m->conf.evacuated && is_over(m->evacuated_us, set->evacuate_ms, EVACUATE_PART, now))
+		return exceeds_fraction(m->unlisted_us, set->leave_ms, LEAVE_FRACTION, now);
+	if (m->conf.evacuated &&
+	    exceeds_fraction(m->evacuated_us, set->evacuate_ms, EVACUATE_FRACTION, now))
 		return true;
-	return m->conf.leaving && is_over(m->leaving_us, set->leave_ms, LEAVE_PART, now);
+	return m->conf.leaving &&
+	       exceeds_fraction(m->leaving_us, set->leave_ms, LEAVE_FRACTION, now);
 }
 
 bool change_must_leave(const struct owner_member *m, int64_t now)
 {
 	if (m->listed)
 		return conf_member_leaves(&m->conf);
-	return m->unlisted_us != 0 && now - MAX(m->unlisted_us, m->g->state_us) > UNLISTED_US;
+	return m->unlisted_us != 0 && now - MAX(m->unlisted_us, m->g->state_us) > UNLISTED_GRACE_US;
 }
 
-/** A promotion has discarded acknowledged commits, if the new term begins below the last of them.
+/**
+ * Logs and counts the acknowledged commits that a promotion discarded, which are those above the
+ * position at which the new term begins.
  */
-static void note_discarded(struct owner_group *g, const struct owner_member *m)
+static void report_discarded_commits(struct owner_group *g, const struct owner_member *m)
 {
 	struct succession s = g->succession;
-	uint64_t n = succession_settle(&g->succession, m->seen.received);
+	uint64_t n = succession_settle(&g->succession, m->observed.received);
 
 	if (n == 0)
 		return;
@@ -82,57 +100,60 @@
 	log_warn("commits-discarded", LOG_STR("pool", g->pool), LOG_STR("member", m->conf.name),
 		 LOG_NUM("commits", n), LOG_NUM("acknowledged_term", s.acknowledged.term),
 		 LOG_NUM("acknowledged_lsn", s.acknowledged.lsn),
-		 LOG_NUM("age_us", now_us() - s.acknowledged_us), LOG_NUM("term", m->seen.term),
-		 LOG_NUM("lsn", m->seen.received.lsn));
+		 LOG_NUM("age_us", now_us() - s.acknowledged_us), LOG_NUM("term", m->observed.term),
+		 LOG_NUM("lsn", m->observed.received.lsn));
 }
 
-void change_lead_begins(struct owner_group *g, int i, const char *why)
+void change_set_primary(struct owner_group *g, int i, const char *why)
 {
 	struct owner_member *m = &g->member[i];
 
-	if (g->unserved_us != 0)
-		stat_time(STAT_TIME_CHANGE, now_us() - g->unserved_us);
-	g->unserved_us = 0;
-	g->to_leave = false;
+	if (g->unserved_since_us != 0)
+		stat_time(STAT_TIME_CHANGE, now_us() - g->unserved_since_us);
+	g->unserved_since_us = 0;
+	g->leave_pending = false;
 	g->primary = i;
-	g->term = m->seen.term;
+	g->term = m->observed.term;
 	g->ordered = false;
 	g->undo.possible = false;
-	m->unheard_us = 0;
+	m->silent_since_us = 0;
 	m->down = false;
-	note_discarded(g, m);
-	marks_new_term(&g->marks, m->seen.received, m->seen_us);
+	report_discarded_commits(g, m);
+	marks_new_term(&g->marks, m->observed.received, m->observed_us);
 	log_info("primary", LOG_STR("pool", g->pool), LOG_STR("member", m->conf.name),
-		 LOG_NUM("term", g->term), LOG_NUM("lsn", m->seen.received.lsn),
+		 LOG_NUM("term", g->term), LOG_NUM("lsn", m->observed.received.lsn),
 		 LOG_NUM("floor", g->record.floor), LOG_STR("why", why));
-	og_state(g, OWNER_SERVING, why);
-	/* A former owner that goes on with this primary gives its callers over. */
+	owner_group_set_state(g, OWNER_SERVING, why);
+	/*
+	 * If the record names other senders, a previous owner may still serve callers; they must
+	 * learn of this VM.
+	 */
 	if (g->record.n > 0)
-		claim_tell_all(g);
+		claim_notify_all(g);
 	queue_dispatch(g);
 }
 
 void change_begin(struct owner_group *g, bool planned, const char *why)
 {
-	struct owner_member *m = og_primary(g);
+	struct owner_member *m = owner_group_primary(g);
 
 	stat_add(STAT_FAILOVERS_BEGUN, 1);
-	g->unserved_us = now_us();
+	g->unserved_since_us = now_us();
 	log_warn("change-of-primary", LOG_STR("pool", g->pool),
 		 LOG_STR("member", m != NULL ? m->conf.name : ""), LOG_NUM("term", g->term),
 		 LOG_NUM("planned", planned), LOG_STR("why", why),
-		 LOG_NUM("unheard_ms", m != NULL && m->unheard_us != 0
-					       ? (now_us() - m->unheard_us) / USEC_PER_MSEC
+		 LOG_NUM("unheard_ms", m != NULL && m->silent_since_us != 0
+					       ? (now_us() - m->silent_since_us) / USEC_PER_MSEC
 					       : 0));
 	g->planned = planned;
-	g->to_leave = false;
-	g->except = -1;
+	g->leave_pending = false;
+	g->excluded = -1;
 	if (g->state == OWNER_SERVING) {
 		succession_begin(&g->succession, now_us());
 		succession_acknowledged(&g->succession, g->marks.newest.pos,
 					g->marks.newest.asked_us);
 	}
-	og_state(g, planned ? OWNER_SETTLING : OWNER_FENCING, why);
+	owner_group_set_state(g, planned ? OWNER_SETTLING : OWNER_FENCING, why);
 	if (!planned && m != NULL)
 		conn_close_all(m);
 	queue_refuse(g, false, OUTCOME_NOT_PRIMARY);
@@ -140,23 +161,23 @@
 
 bool change_is_silent(const struct owner_member *m, int64_t now)
 {
-	return m->unheard_us != 0 && now - m->unheard_us > CHANGE_LOOK_FRESH_US;
+	return m->silent_since_us != 0 && now - m->silent_since_us > CHANGE_PROBE_FRESH_US;
 }
 
 void change_call_off(struct owner_group *g, const char *why)
 {
 	log_info("change-called-off", LOG_STR("pool", g->pool), LOG_STR("why", why));
-	g->next_us = now_us() + PLANNED_PAUSE_US;
-	og_state(g, OWNER_SERVING, why);
+	g->next_call_us = now_us() + PLANNED_PAUSE_US;
+	owner_group_set_state(g, OWNER_SERVING, why);
 	choose_undo(g);
 	queue_dispatch(g);
 }
 
-/* Settling */
+/* States OWNER_SETTLING and OWNER_FENCING */
 
-static bool primary_at_rest(struct owner_group *g)
+static bool primary_is_idle(struct owner_group *g)
 {
-	const struct owner_member *m = og_primary(g);
+	const struct owner_member *m = owner_group_primary(g);
 	const struct owner_conn *c;
 
 	TAILQ_FOREACH(c, &m->conns, link) {
@@ -168,52 +189,52 @@
 
 static void settle(struct owner_group *g, int64_t now)
 {
-	struct owner_member *m = og_primary(g);
+	struct owner_member *m = owner_group_primary(g);
 
-	/* It fell silent meanwhile: no use in waiting for it. */
+	/* The primary stopped answering, so its transactions cannot finish. */
 	if (m == NULL || change_is_silent(m, now)) {
 		g->planned = false;
 		if (m != NULL)
 			conn_close_all(m);
-		og_state(g, OWNER_FENCING, "silent");
+		owner_group_set_state(g, OWNER_FENCING, "silent");
 		return;
 	}
-	if (!primary_at_rest(g) && now - g->state_us < SETTLE_US)
+	if (!primary_is_idle(g) && now - g->state_us < SETTLE_TIMEOUT_US)
 		return;
 	conn_close_all(m);
-	og_state(g, OWNER_FENCING, "settled");
+	owner_group_set_state(g, OWNER_FENCING, "settled");
 }
 
-/* Fencing */
-
 /**
- * The primary is back while the change waits for others to stop sending, which may take as long as
- * a lease. Nothing has been ordered yet, so it goes on; its callers' writes were refused until the
- * lease of a VM that had lost its power ran out.
+ * Cancels the change if the primary is back while other senders are being fenced, which may take as
+ * long as a lease. No promotion was ordered yet, so the primary can continue. Without this, writes
+ * were refused until the lease of a VM that had lost power expired.
  */
 static bool resume(struct owner_group *g, int64_t now)
 {
-	int back = g->planned ? -1 : choose_leader(g, now);
+	int returned = g->planned ? -1 : choose_leader(g, now);
 
-	if (back < 0 || g->member[back].seen_us <= g->state_us ||
-	    conf_member_leaves(&g->member[back].conf))
+	if (returned < 0 || g->member[returned].observed_us <= g->state_us ||
+	    conf_member_leaves(&g->member[returned].conf))
 		return false;
-	change_lead_begins(g, back, "came-back");
+	change_set_primary(g, returned, "came-back");
 	return true;
 }
 
-/** The former owner serves through a primary that this VM does not reach: it owns the group again.
+/**
+ * Hands the group back to the previous owner, which still serves through a primary that this VM
+ * does not reach.
  */
 static void hand_back(struct owner_group *g)
 {
-	const struct vm *vm = peers_find(&og_fleet(g)->peers, g->succession.vm);
+	const struct vm *vm = peers_find(&owner_group_fleet(g)->peers, g->succession.vm);
 
 	if (vm != NULL && vm->incarnation == g->succession.incarnation)
 		claim_hand_over(g, vm->name, "former-owner-serves");
 }
 
-/** Whether the change is to wait for a primary that others hear. */
-static bool primary_lives(struct owner_group *g, int64_t now)
+/** Whether the change must wait because another VM is in contact with the primary. */
+static bool must_keep_primary(struct owner_group *g, int64_t now)
 {
 	if (g->planned)
 		return false;
@@ -233,8 +254,9 @@
 {
 	if (resume(g, now))
 		return;
-	if (!primary_lives(g, now) && g->record.n == 0 && fleet_store_settled(og_fleet(g))) {
-		og_state(g, OWNER_CHOOSING, "fenced");
+	if (!must_keep_primary(g, now) && g->record.n == 0 &&
+	    fleet_store_settled(owner_group_fleet(g))) {
+		owner_group_set_state(g, OWNER_CHOOSING, "fenced");
 		return;
 	}
 	if (now < g->fence_next_us)
@@ -243,7 +265,7 @@
 	fence_ask(g);
 }
 
-/* Ordering and awaiting */
+/* States OWNER_ORDERING and OWNER_AWAITING */
 
 struct order {
 	struct owner *o;
@@ -254,20 +276,23 @@
 static void ordered(enum promoter_result result, int code, void *arg)
 {
 	struct order *q = arg;
-	struct owner_group *g = og_find(q->o, q->pool);
+	struct owner_group *g = owner_group_find(q->o, q->pool);
 
 	log_info("promotion-answered", LOG_STR("pool", q->pool), LOG_REVISION("token", q->token),
 		 LOG_NUM("code", code));
 	if (g != NULL && g->state == OWNER_ORDERING && g->token == q->token) {
 		if (result == PROMOTER_REFUSED && code == 409) {
-			g->except = g->target;
-			og_state(g, OWNER_CHOOSING, "promotion-refused");
+			g->excluded = g->target;
+			owner_group_set_state(g, OWNER_CHOOSING, "promotion-refused");
 		} else if (result == PROMOTER_ACCEPTED) {
-			og_state(g, OWNER_AWAITING, "promotion-accepted");
+			owner_group_set_state(g, OWNER_AWAITING, "promotion-accepted");
 		} else {
-			/* The same order again is harmless: same holder, token and member. */
+			/*
+			 * Repeating the order is harmless: it has the same holder, token and
+			 * member.
+			 */
 			g->ordered = false;
-			g->next_us = now_us() + FENCE_RETRY_US;
+			g->next_call_us = now_us() + FENCE_RETRY_US;
 		}
 	}
 	g_free(q);
@@ -278,13 +303,15 @@
 	struct kernel *k = g->o->service.kernel;
 	struct order *q;
 
-	if (g->ordered || now < g->next_us)
+	if (g->ordered || now < g->next_call_us)
 		return;
-	/* Another may have the group by now; its token is higher, and this one must not follow it.
+	/*
+	 * If another VM owns the group by now, it has a higher token, and an order from this VM
+	 * must not follow its order.
 	 */
-	if (!og_may_send(g))
+	if (!owner_group_may_send(g))
 		return;
-	if (choose_take_back(g, now) || choose_order_waits(g, now))
+	if (choose_undo_if_returned(g, now) || choose_order_waits(g, now))
 		return;
 	g->ordered = true;
 	g->undo.possible = false;
@@ -306,36 +333,36 @@
 
 	if (found >= 0) {
 		stat_add(STAT_FAILOVERS_DONE, 1);
-		change_lead_begins(g, found, "promoted");
+		change_set_primary(g, found, "promoted");
 		return;
 	}
-	if (now - g->state_us < AWAIT_US)
+	if (now - g->state_us < AWAIT_TIMEOUT_US)
 		return;
-	g->except = g->target;
-	og_state(g, OWNER_CHOOSING, "promotion-without-effect");
+	g->excluded = g->target;
+	owner_group_set_state(g, OWNER_CHOOSING, "promotion-without-effect");
 }
 
-/* Finding */
+/* State OWNER_FINDING */
 
-/** Whether a member is known to have taken a write, ever. */
+/** Whether any member is known to have ever taken a write. */
 static bool ever_written(const struct owner_group *g)
 {
 	unsigned i;
 
 	for (i = 0; i < g->n; i++) {
-		if (g->member[i].seen.received.lsn > 0)
+		if (g->member[i].observed.received.lsn > 0)
 			return true;
 	}
 	return g->record.target[0] != '\0';
 }
 
 /**
- * After a restore of the store the record may lack a change of primary, until all VMs have written
- * again what they know.
+ * Whether the record may lack a change of primary after a restore of the store. It is settled once
+ * all VMs have written back what they know and the record was read again.
  */
 static bool awaits_settled_record(struct owner_group *g)
 {
-	if (!fleet_store_settled(og_fleet(g))) {
+	if (!fleet_store_settled(owner_group_fleet(g))) {
 		g->unsettled = true;
 		return true;
 	}
@@ -358,20 +385,21 @@
 	found = choose_leader(g, now);
 
 	if (found >= 0) {
-		change_lead_begins(g, found, "found");
+		change_set_primary(g, found, "found");
 		return;
 	}
-	if (now - g->state_us > (ever_written(g) ? FIND_US : FIND_FIRST_US) && g->n > 0)
+	if (now - g->state_us > (ever_written(g) ? FIND_TIMEOUT_US : FIND_INITIAL_TIMEOUT_US) &&
+	    g->n > 0)
 		change_begin(g, false, "none-found");
 }
 
 static void planned_recorded(struct owner_group *g, bool ok)
 {
-	g->planning = false;
+	g->plan_recording = false;
 	if (g->state != OWNER_SERVING)
 		return;
 	if (!ok) {
-		g->next_us = now_us() + PLANNED_PAUSE_US / 2;
+		g->next_call_us = now_us() + PLANNED_PAUSE_US / 2;
 		claim_invite(g, "planned-change-not-written");
 		return;
 	}
@@ -380,19 +408,20 @@
 }
 
 /**
- * The primary is to leave: choose its successor and write that to the record while it still serves.
- * Stopped first, it would be missed for as long as the store turns the owner away.
+ * Chooses the successor of a leaving primary and writes it to the record while the primary still
+ * serves. If the primary stopped first, the group would have none for as long as the store refuses
+ * this VM.
  */
 static void plan(struct owner_group *g, int64_t now)
 {
-	int best = choose_successor(g, now, PLAN_LOOK_FRESH_US);
+	int best = choose_successor(g, now, PLAN_PROBE_FRESH_US);
 
-	if (best < 0 || g->busy) {
-		g->to_leave = true;
+	if (best < 0 || g->record_busy) {
+		g->leave_pending = true;
 		return;
 	}
-	g->to_leave = false;
-	g->planning = true;
+	g->leave_pending = false;
+	g->plan_recording = true;
 	log_info("planned", LOG_STR("pool", g->pool), LOG_STR("member", g->member[best].conf.name),
 		 LOG_NUM("floor", MAX(g->record.floor, g->term)));
 	choose_record(g, best, g->term, planned_recorded);
@@ -404,16 +433,16 @@
 		[OWNER_FINDING] = find,		[OWNER_SETTLING] = settle, [OWNER_FENCING] = fence,
 		[OWNER_CHOOSING] = choose_step, [OWNER_ORDERING] = order,  [OWNER_AWAITING] = await,
 	};
-	struct owner_member *m = og_primary(g);
+	struct owner_member *m = owner_group_primary(g);
 
-	if (!og_mine(g))
+	if (!owner_group_is_own(g))
 		return;
 	if (g->state == OWNER_SERVING && m != NULL && change_must_leave(m, now)) {
-		if (change_overstays(m, now)) {
+		if (change_exceeds_leave_time(m, now)) {
 			g->target = -1;
 			change_begin(g, !change_is_silent(m, now), "overstays");
-		} else if (now >= g->next_us && m->unheard_us == 0 && !g->planning &&
-			   fleet_store_settled(og_fleet(g))) {
+		} else if (now >= g->next_call_us && m->silent_since_us == 0 &&
+			   !g->plan_recording && fleet_store_settled(owner_group_fleet(g))) {
 			plan(g, now);
 		}
 		return;
--- a/src/owner-choose.c
+++ b/src/owner-choose.c
@@ -1,7 +1,7 @@
 /**
  * @file owner-choose.c
- * The choice of a group's next primary: who may follow, what it must hold, how the choice is
- * written to the record and taken back.
+ * Choice of the next primary of a group: which member may succeed, which log it must hold, and how
+ * the choice is written to the record and reverted.
  */
 #include "owner.h"
 
@@ -9,17 +9,20 @@
 
 #include <string.h>
 
-/** A planned change waits so long for a replica that has everything; then it is called off. */
-#define CAUGHT_UP_US (1500 * USEC_PER_MSEC)
-/** The same where the old primary lives and can't go on. */
-#define CAUGHT_UP_LIVING_US (6 * USEC_PER_SEC)
+/** How long a planned change waits for a replica to catch up before it is cancelled. */
+#define CATCH_UP_TIMEOUT_US (1500 * USEC_PER_MSEC)
 /**
- * A change that could not be written for so long is offered to another VM: the store may turn just
- * this one away, for nine seconds at a time.
+ * How long a change waits for a replica to catch up if the old primary is alive but cannot
+ * continue.
+ */
+#define CATCH_UP_ALIVE_TIMEOUT_US (6 * USEC_PER_SEC)
+/**
+ * After this time without being able to write the choice, another VM is invited to take the group.
+ * The store may refuse just this VM, for up to nine seconds.
  */
 #define INVITE_AFTER_US (200 * USEC_PER_MSEC)
-/** Members that do not answer hold up a choice for so long. */
-#define CHOOSE_US (300 * USEC_PER_MSEC)
+/** How long a choice waits for members that do not answer. */
+#define CHOOSE_TIMEOUT_US (300 * USEC_PER_MSEC)
 
 void choose_candidates(const struct owner_group *g, struct lead_candidate *c, const char **names,
 		       int64_t now, int64_t fresh_us)
@@ -29,9 +32,9 @@
 	for (i = 0; i < g->n; i++) {
 		const struct owner_member *m = &g->member[i];
 
-		c[i] = m->seen;
-		c[i].reached = (m->listed || !change_overstays(m, now)) && m->seen.reached &&
-			       now - m->seen_us < fresh_us;
+		c[i] = m->observed;
+		c[i].reached = (m->listed || !change_exceeds_leave_time(m, now)) &&
+			       m->observed.reached && now - m->observed_us < fresh_us;
 		c[i].leaving = conf_member_leaves(&m->conf) || !m->listed;
 		names[i] = m->conf.name;
 	}
@@ -42,7 +45,7 @@
 	struct lead_candidate c[GROUP_MEMBERS_MAX];
 	const char *names[GROUP_MEMBERS_MAX];
 
-	choose_candidates(g, c, names, now, CHANGE_LOOK_FRESH_US);
+	choose_candidates(g, c, names, now, CHANGE_PROBE_FRESH_US);
 	return lead_find(&g->record, names, c, g->n);
 }
 
@@ -55,9 +58,9 @@
 	return lead_choose(c, g->n, g->primary);
 }
 
-/* Taking a choice back */
+/* Reverting a choice */
 
-/** The record as it was before the choice. */
+/** Returns the record with the fields from before the choice. */
 static struct lead_record undo_record(const struct owner_group *g)
 {
 	struct lead_record r = g->record;
@@ -68,57 +71,57 @@
 	return r;
 }
 
-static void undone(struct owner_group *g, bool ok)
+static void undo_written(struct owner_group *g, bool ok)
 {
 	if (ok)
 		g->undo.possible = false;
 	if (g->state == OWNER_RECORDING)
-		og_state(g, OWNER_CHOOSING, ok ? "taken-back" : "not-taken-back");
+		owner_group_set_state(g, OWNER_CHOOSING, ok ? "taken-back" : "not-taken-back");
 }
 
-/** Only while no order has gone out. */
+/** Writes the reverted record. Allowed only while no promotion was ordered. */
 static void write_undo(struct owner_group *g)
 {
 	struct lead_record r = undo_record(g);
 
 	log_info("choice-taken-back", LOG_STR("pool", g->pool), LOG_STR("member", g->record.target),
 		 LOG_NUM("floor", r.floor), LOG_REVISION("revision", g->revision));
-	record_write(g, &r, undone);
+	record_write(g, &r, undo_written);
 }
 
 void choose_undo(struct owner_group *g)
 {
-	if (g->undo.possible && !g->busy)
+	if (g->undo.possible && !g->record_busy)
 		write_undo(g);
 }
 
 /**
- * The primary that a successor was recorded for is back before any order went out. Promoting the
- * successor all the same would discard what the primary acknowledged meanwhile.
+ * The primary for which a successor was recorded is back before any order was sent. Promoting the
+ * successor anyway would discard what the primary has acknowledged meanwhile.
  */
-bool choose_take_back(struct owner_group *g, int64_t now)
+bool choose_undo_if_returned(struct owner_group *g, int64_t now)
 {
 	struct lead_candidate c[GROUP_MEMBERS_MAX];
 	const char *names[GROUP_MEMBERS_MAX];
 	struct lead_record r = undo_record(g);
-	int back;
+	int returned;
 
-	if (!g->undo.possible || g->planned || g->busy)
+	if (!g->undo.possible || g->planned || g->record_busy)
 		return false;
-	choose_candidates(g, c, names, now, CHANGE_LOOK_FRESH_US);
-	back = lead_find(&r, names, c, g->n);
-	if (back < 0 || conf_member_leaves(&g->member[back].conf) ||
-	    g->member[back].seen_us <= g->chosen_us)
+	choose_candidates(g, c, names, now, CHANGE_PROBE_FRESH_US);
+	returned = lead_find(&r, names, c, g->n);
+	if (returned < 0 || conf_member_leaves(&g->member[returned].conf) ||
+	    g->member[returned].observed_us <= g->chosen_us)
 		return false;
-	og_state(g, OWNER_RECORDING, "came-back");
+	owner_group_set_state(g, OWNER_RECORDING, "came-back");
 	write_undo(g);
 	return true;
 }
 
-/* Choosing */
+/* State OWNER_CHOOSING */
 
-/** All members that may be chosen have been looked at since the choice began. */
-static bool all_seen(const struct owner_group *g)
+/** Whether all members that may be chosen were probed since the choice began. */
+static bool all_probed(const struct owner_group *g)
 {
 	unsigned i;
 
@@ -126,7 +129,7 @@
 		const struct owner_member *m = &g->member[i];
 
 		if (m->listed && !conf_member_leaves(&m->conf) && (int)i != g->primary &&
-		    m->seen_us < g->state_us)
+		    m->observed_us < g->state_us)
 			return false;
 	}
 	return true;
@@ -149,7 +152,7 @@
 	record_write(g, &r, cb);
 }
 
-static void settled_recorded(struct owner_group *g, bool ok)
+static void late_choice_recorded(struct owner_group *g, bool ok)
 {
 	if (g->state != OWNER_CHOOSING)
 		return;
@@ -161,110 +164,114 @@
 	claim_invite(g, "planned-change-not-written");
 }
 
-/** The old primary had to stop before its successor could be chosen. */
-static void choose_settled(struct owner_group *g, int64_t now)
+/** Chooses the successor after the old primary had to stop without one. */
+static void choose_late(struct owner_group *g, int64_t now)
 {
-	int best = choose_successor(g, now, CHANGE_LOOK_FRESH_US);
+	int best = choose_successor(g, now, CHANGE_PROBE_FRESH_US);
 	const struct owner_member *m;
 
 	if (best < 0)
 		return;
 	m = &g->member[best];
 	log_info("chosen", LOG_STR("pool", g->pool), LOG_STR("member", m->conf.name),
-		 LOG_NUM("term", m->seen.received.term), LOG_NUM("lsn", m->seen.received.lsn),
-		 LOG_NUM("floor", g->term));
-	choose_record(g, best, g->term, settled_recorded);
+		 LOG_NUM("term", m->observed.received.term),
+		 LOG_NUM("lsn", m->observed.received.lsn), LOG_NUM("floor", g->term));
+	choose_record(g, best, g->term, late_choice_recorded);
 }
 
-/** Whether the chosen member holds all that the old primary has, which takes no writes any more. */
+/** Whether the chosen member holds the whole log of the old primary, which takes no more writes. */
 static bool has_caught_up(const struct owner_group *g)
 {
 	const struct owner_member *old = &g->member[g->primary];
 	const struct owner_member *next = &g->member[g->target];
 
-	return old->seen.reached && next->seen.reached && old->seen_us > g->state_us &&
-	       next->seen_us > g->state_us && pos_cmp(next->seen.received, old->seen.received) >= 0;
+	return old->observed.reached && next->observed.reached && old->observed_us > g->state_us &&
+	       next->observed_us > g->state_us &&
+	       pos_cmp(next->observed.received, old->observed.received) >= 0;
 }
 
-/** A planned change: the chosen member must have everything before the order goes out. */
+/** Orders the promotion of a planned change once the chosen member has caught up. */
 static void catch_up(struct owner_group *g, int64_t now)
 {
-	const struct owner_member *old = og_primary(g);
+	const struct owner_member *old = owner_group_primary(g);
 
 	if (old == NULL || change_is_silent(old, now)) {
 		g->planned = false;
-		log_info("old-primary-gone", LOG_STR("pool", g->pool));
+		log_info("old-primary-silent", LOG_STR("pool", g->pool));
 		return;
 	}
-	if (g->busy)
+	if (g->record_busy)
 		return;
 	if (old->listed && !conf_member_leaves(&old->conf)) {
 		change_call_off(g, "stays");
 		return;
 	}
 	if (g->target < 0) {
-		choose_settled(g, now);
+		choose_late(g, now);
 		return;
 	}
 	if (has_caught_up(g)) {
 		g->ordered = false;
-		og_state(g, OWNER_ORDERING, "caught-up");
+		owner_group_set_state(g, OWNER_ORDERING, "caught-up");
 		return;
 	}
-	/* One that may get no more statements can't go on; it keeps what others lack until then. */
-	if (now - g->state_us > CAUGHT_UP_US && !change_overstays(old, now))
+	/*
+	 * A primary that must get no more statements cannot continue. Until a replica has caught up
+	 * it is needed for the log that others lack.
+	 */
+	if (now - g->state_us > CATCH_UP_TIMEOUT_US && !change_exceeds_leave_time(old, now))
 		change_call_off(g, "replica-behind");
 }
 
-static void recorded(struct owner_group *g, bool ok)
+static void choice_recorded(struct owner_group *g, bool ok)
 {
 	if (g->state != OWNER_RECORDING)
 		return;
 	if (!ok) {
-		og_state(g, OWNER_CHOOSING, "record-not-written");
-		if (now_us() - g->unserved_us > INVITE_AFTER_US)
+		owner_group_set_state(g, OWNER_CHOOSING, "record-not-written");
+		if (now_us() - g->unserved_since_us > INVITE_AFTER_US)
 			claim_invite(g, "record-not-written");
 		return;
 	}
 	g->token = g->revision;
 	g->ordered = false;
-	og_state(g, OWNER_ORDERING, "recorded");
+	owner_group_set_state(g, OWNER_ORDERING, "recorded");
 }
 
-/** The member that leads the newest term seen, or -1. */
-static int find_present(const struct lead_candidate *c, unsigned n)
+/** Returns the primary with the newest term seen, or -1. */
+static int find_current_primary(const struct lead_candidate *c, unsigned n)
 {
-	int present = -1;
+	int current = -1;
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
-		if (c[i].reached && c[i].primary && (present < 0 || c[i].term > c[present].term))
-			present = (int)i;
+		if (c[i].reached && c[i].primary && (current < 0 || c[i].term > c[current].term))
+			current = (int)i;
 	}
-	return present;
+	return current;
 }
 
 /**
- * A primary that is back after a successor was recorded. An order to promote it would change
- * nothing, and its term would not be believed: the group stayed without writes for the 2.5 s of
- * AWAIT_US. An earlier order may still take effect, so it cannot just go on either. Nobody sends to
- * it any more; a replica that has all of it takes over.
+ * Excludes a primary that is back after a successor was recorded. Ordering its own promotion would
+ * change nothing, and its term would not be accepted: the group stayed without writes for
+ * AWAIT_TIMEOUT_US (2.5 s). It cannot simply continue either, since an earlier order may still take
+ * effect. Nobody sends to it any more, so a replica that holds its whole log can take over.
  * @return whether the choice has to wait for such a replica
  */
-static bool pass_over_present(struct owner_group *g, struct lead_candidate *c, int present,
-			      int64_t now)
+static bool skip_current_primary(struct owner_group *g, struct lead_candidate *c, int current,
+				 int64_t now)
 {
 	int next;
 
-	if (present < 0 || g->record.target[0] == '\0')
+	if (current < 0 || g->record.target[0] == '\0')
 		return false;
-	c[present].leaving = true;
-	next = lead_choose(c, g->n, g->except);
-	return next >= 0 && now - g->state_us < CAUGHT_UP_LIVING_US &&
-	       pos_cmp(c[next].received, c[present].received) < 0;
+	c[current].leaving = true;
+	next = lead_choose(c, g->n, g->excluded);
+	return next >= 0 && now - g->state_us < CATCH_UP_ALIVE_TIMEOUT_US &&
+	       pos_cmp(c[next].received, c[current].received) < 0;
 }
 
-/** Whether some member may yet show, or receive, more than the candidates hold. */
+/** Whether a member may still report, or receive, a newer log than the candidates hold. */
 static bool may_gain(const struct owner_group *g, const struct lead_candidate *c)
 {
 	unsigned i;
@@ -276,7 +283,7 @@
 	return false;
 }
 
-/** The member at @a best would be promoted: whether the choice waits for what it lacks. */
+/** Whether the choice must wait for acknowledged writes that the member at @a best lacks. */
 static bool wait_for_acknowledged(const struct owner_group *g, const struct lead_candidate *c,
 				  int best, int64_t now)
 {
@@ -287,17 +294,20 @@
 	return succession_choice_waits(&g->succession, &choice);
 }
 
-/** The primary is there: it goes on, or hands over in order where it is to leave. */
-static void return_to(struct owner_group *g, int leader)
+/**
+ * Continues with the old primary, or turns the change into a planned one if that primary must
+ * leave.
+ */
+static void resume_primary(struct owner_group *g, int leader)
 {
 	if (!conf_member_leaves(&g->member[leader].conf)) {
-		change_lead_begins(g, leader, "came-back");
+		change_set_primary(g, leader, "came-back");
 		return;
 	}
 	g->planned = true;
 	g->target = -1;
 	g->primary = leader;
-	g->term = g->member[leader].seen.term;
+	g->term = g->member[leader].observed.term;
 }
 
 void choose_step(struct owner_group *g, int64_t now)
@@ -305,30 +315,30 @@
 	struct lead_candidate c[GROUP_MEMBERS_MAX];
 	const char *names[GROUP_MEMBERS_MAX];
 	uint64_t highest = g->term;
-	int best, present;
+	int best, current;
 
 	if (g->planned) {
 		catch_up(g, now);
 		return;
 	}
-	if (choose_take_back(g, now))
+	if (choose_undo_if_returned(g, now))
 		return;
-	if (!all_seen(g) && now - g->state_us < CHOOSE_US)
+	if (!all_probed(g) && now - g->state_us < CHOOSE_TIMEOUT_US)
 		return;
-	choose_candidates(g, c, names, now, CHANGE_LOOK_FRESH_US);
+	choose_candidates(g, c, names, now, CHANGE_PROBE_FRESH_US);
 	best = lead_find(&g->record, names, c, g->n);
 	if (best >= 0) {
-		return_to(g, best);
+		resume_primary(g, best);
 		return;
 	}
-	present = find_present(c, g->n);
-	if (present >= 0)
-		highest = MAX(highest, c[present].term);
-	if (pass_over_present(g, c, present, now))
+	current = find_current_primary(c, g->n);
+	if (current >= 0)
+		highest = MAX(highest, c[current].term);
+	if (skip_current_primary(g, c, current, now))
 		return;
-	best = lead_choose(c, g->n, g->except);
-	if (best < 0 && g->except >= 0) {
-		g->except = -1;
+	best = lead_choose(c, g->n, g->excluded);
+	if (best < 0 && g->excluded >= 0) {
+		g->excluded = -1;
 		return;
 	}
 	if (best < 0 || wait_for_acknowledged(g, c, best, now))
@@ -339,23 +349,23 @@
 		 LOG_NUM("acknowledged_term", g->succession.acknowledged.term),
 		 LOG_NUM("acknowledged_lsn", g->succession.acknowledged.lsn),
 		 LOG_NUM("acknowledged_age_us", now - g->succession.acknowledged_us));
-	og_state(g, OWNER_RECORDING, "chosen");
-	choose_record(g, best, highest, recorded);
+	owner_group_set_state(g, OWNER_RECORDING, "chosen");
+	choose_record(g, best, highest, choice_recorded);
 }
 
 /**
- * Whether a primary that is back holds what the chosen member lacks. An earlier order may have been
- * lost; repeating it before the member has caught up would discard that.
+ * Whether a primary that is back holds log that the chosen member lacks. An earlier order may have
+ * been lost; repeating it before the member has caught up would discard that part of the log.
  */
 bool choose_order_waits(const struct owner_group *g, int64_t now)
 {
 	struct lead_candidate c[GROUP_MEMBERS_MAX];
 	const char *names[GROUP_MEMBERS_MAX];
-	int present;
+	int current;
 
-	if (now - g->chosen_us > CAUGHT_UP_LIVING_US)
+	if (now - g->chosen_us > CATCH_UP_ALIVE_TIMEOUT_US)
 		return false;
-	choose_candidates(g, c, names, now, CHANGE_LOOK_FRESH_US);
-	present = find_present(c, g->n);
-	return present >= 0 && pos_cmp(c[g->target].received, c[present].received) < 0;
+	choose_candidates(g, c, names, now, CHANGE_PROBE_FRESH_US);
+	current = find_current_primary(c, g->n);
+	return current >= 0 && pos_cmp(c[g->target].received, c[current].received) < 0;
 }
--- a/src/owner-command.c
+++ b/src/owner-command.c
@@ -1,22 +1,22 @@
 /**
  * @file owner-command.c
- * What goes to a member before a statement: session values and prepared names that its connection
+ * Commands sent before a statement: session values and prepared statements that the connection
  * lacks.
  */
 #include "owner.h"
 
 #include <string.h>
 
-/** Room that values leave: a reset, a prepare, a begin and the statement. */
-#define COMMANDS_BESIDE 4
+/** Number of commands reserved for a reset, a prepare, a begin and the statement. */
+#define COMMANDS_RESERVED 4
 
-static void hold_value(struct owner_conn *c, const ml_value *v)
+static void note_value(struct owner_conn *c, const ml_value *v)
 {
 	g_hash_table_replace(c->values, g_strdup(v->name), g_strdup(v->value));
 }
 
-/** Whether the connection has a value that the session does not have. */
-static bool has_others(const struct owner_conn *c, const ml_run_args *a)
+/** Whether the connection has a value that the session has not set. */
+static bool has_other_values(const struct owner_conn *c, const ml_run_args *a)
 {
 	guint found = 0;
 	u_int i;
@@ -33,32 +33,32 @@
 	unsigned n = 0;
 	u_int i;
 
-	if (job->tx == NULL && (c->values_unsure || has_others(c, a))) {
+	if (job->tx == NULL && (c->values_uncertain || has_other_values(c, a))) {
 		out[n++] = (struct member_command){.op = STATEMENT_RESET};
 		g_hash_table_remove_all(c->values);
 		g_hash_table_remove_all(c->prepared);
-		c->values_unsure = false;
+		c->values_uncertain = false;
 	}
-	for (i = 0; i < a->values.values_len && n < OWNER_COMMANDS_MAX - COMMANDS_BESIDE; i++) {
+	for (i = 0; i < a->values.values_len && n < OWNER_COMMANDS_MAX - COMMANDS_RESERVED; i++) {
 		const ml_value *v = &a->values.values_val[i];
-		const char *held = g_hash_table_lookup(c->values, v->name);
+		const char *current = g_hash_table_lookup(c->values, v->name);
 
-		if (held != NULL && strcmp(held, v->value) == 0)
+		if (current != NULL && strcmp(current, v->value) == 0)
 			continue;
 		out[n++] = (struct member_command){
 			.op = STATEMENT_SET, .name = v->name, .operand = v->value};
-		hold_value(c, v);
+		note_value(c, v);
 		if (job->tx != NULL)
-			c->values_unsure = true;
+			c->values_uncertain = true;
 	}
 	return n;
 }
 
 /**
- * Prepared statements are named by what they are, so that all callers of a connection share them
- * and each is prepared on it once.
+ * Names a prepared statement after its shape, so that all callers of a connection share it and it
+ * is prepared only once.
  */
-static void shape_name(const ml_run_args *a, char name[OWNER_NAME_MAX])
+static void statement_name(const ml_run_args *a, char name[OWNER_NAME_MAX])
 {
 	char *at;
 
@@ -77,7 +77,7 @@
 
 	if (a->op != STATEMENT_EXECUTE)
 		return 0;
-	shape_name(a, name);
+	statement_name(a, name);
 	if (g_hash_table_contains(c->prepared, name))
 		return 0;
 	g_hash_table_add(c->prepared, g_strdup(name));
--- a/src/owner-conn.c
+++ b/src/owner-conn.c
@@ -1,4 +1,4 @@
-/** @file owner-conn.c Connections to members, and callers' transactions on them. */
+/** @file owner-conn.c Connections to members, and transactions on them. */
 #include "owner.h"
 
 #include "adapter.h"
@@ -8,60 +8,67 @@
 
 #include <string.h>
 
-/** Connections of a member that are left for looks, from here and from other VMs. */
-#define CONNECTIONS_FOR_LOOKS 2
-/** Connections of the primary that are left for these, and for an owner that takes over. */
-#define PRIMARY_CONNECTIONS_LEFT 4
-/** Part of what a replica accepts that an owner, or a reader, usually holds. */
-#define USUAL_OF_REPLICA 3
-/** How long each unused connection is kept. */
+/** Connections of a member that are reserved for probes of this and other VMs. */
+#define PROBE_CONNECTIONS 2
+/** Connections of the primary that are reserved for probes and for an owner that takes over. */
+#define PRIMARY_CONNECTIONS_RESERVED 4
+/** An owner or reader usually holds this part (1/n) of the connections a replica accepts. */
+#define REPLICA_USUAL_DIVISOR 3
+/** How long any unused connection is kept. */
 #define IDLE_KEEP_US (700 * USEC_PER_MSEC)
-/** How long those are kept that keep_unused() allows: members end what rests for longer. */
+/**
+ * How long the connections that keep_unused() allows are kept. Members close connections that are
+ * idle for longer.
+ */
 #define IDLE_KEEP_MAX_US (20 * USEC_PER_SEC)
-/** After a member with none of this VM's connections refused one as too many. */
+/** Pause after MEMBER_FULL from a member to which this VM has no open connection. */
 #define FULL_RETRY_US (60 * USEC_PER_MSEC)
-/** After a member refused a connection as one too many, others want what rests here. */
-#define WANTED_US (3 * USEC_PER_SEC)
-/** A VM that was asked so lately to read for its data centre is its reader. */
-#define NEAR_US (5 * USEC_PER_SEC)
-/** A connection that has not opened by then is given up. */
+/** How long after MEMBER_FULL this VM keeps no idle connections, since other VMs need them. */
+#define FULL_RECENT_US (3 * USEC_PER_SEC)
+/** How long after its last READER_LOCAL read a VM counts as the reader of its data centre. */
+#define LOCAL_READER_FRESH_US (5 * USEC_PER_SEC)
+/** Time limit for opening a connection. */
 #define OPEN_TIMEOUT_US (400 * USEC_PER_MSEC)
-/** How long a member that refused a connection as one too many is asked for no more. */
+/** How long after MEMBER_FULL no more connections are opened than were open then. */
 #define FULL_PAUSE_US (300 * USEC_PER_MSEC)
-/** After it refused one otherwise. */
+/** Pause before the next connection after any other failure to open one. */
 #define REFUSED_PAUSE_US (100 * USEC_PER_MSEC)
-/** A statement that nobody waits for any more may still be answered; then its connection is closed.
+/**
+ * How long a connection stays open for the answer to a statement whose caller was already answered.
  */
-#define ABANDONED_US (3 * USEC_PER_SEC)
+#define ABANDONED_TIMEOUT_US (3 * USEC_PER_SEC)
 
 /**
- * An owner uses half of what a replica accepts: when its VM loses power, the member counts the old
- * connections for some seconds, and the successor needs as many. The primary's are held by
- * transactions while their callers think, so there most are used.
+ * Returns the most connections this VM opens to a member. For a replica it is half of what the
+ * replica accepts: when the VM of an owner loses power, the member counts its connections for some
+ * more seconds, and the next owner needs as many. On the primary, open transactions hold
+ * connections between statements, so most are used.
  */
 static unsigned conn_limit(const struct owner_member *m)
 {
 	unsigned all = m->conf.connections;
-	unsigned half = all > CONNECTIONS_FOR_LOOKS ? (all - CONNECTIONS_FOR_LOOKS) / 2 : 1;
+	unsigned half = all > PROBE_CONNECTIONS ? (all - PROBE_CONNECTIONS) / 2 : 1;
 
-	if (m == og_primary(m->g))
-		half = MAX(half,
-			   all > PRIMARY_CONNECTIONS_LEFT ? all - PRIMARY_CONNECTIONS_LEFT : 0);
+	if (m == owner_group_primary(m->g))
+		half = MAX(half, all > PRIMARY_CONNECTIONS_RESERVED
+					 ? all - PRIMARY_CONNECTIONS_RESERVED
+					 : 0);
 	if (now_us() < m->full_until_us && m->full_limit < half)
 		half = m->full_limit;
 	return MAX(half, 1);
 }
 
 /**
- * Connections up to which more are opened while others rest. Beyond, an unused one is replaced:
- * what is held without need is missing to the successor of a VM that loses power.
+ * Returns the number of connections up to which new ones are opened while others are idle. Above
+ * it, an idle connection is replaced: if this VM loses power, connections held without need are
+ * missing for the next owner.
  */
 static unsigned conn_usual(const struct owner_member *m)
 {
-	if (m == og_primary(m->g))
+	if (m == owner_group_primary(m->g))
 		return conn_limit(m);
 
-	return MAX(m->conf.connections / USUAL_OF_REPLICA, m->conf.slots + 1);
+	return MAX(m->conf.connections / REPLICA_USUAL_DIVISOR, m->conf.slots + 1);
 }
 
 static bool conn_idle(const struct owner_conn *c)
@@ -69,22 +76,26 @@
 	return c->open && c->job == NULL && c->tx == NULL && !c->abandoned;
 }
 
-/** Whether this VM is one of member_users(), and not one that reads for want of an owner. */
+/**
+ * Whether this VM counts in member_users(). A VM that reads only while the owner is unreachable
+ * does not.
+ */
 static bool is_user(const struct owner_group *g, int64_t now)
 {
-	return og_mine(g) || (g->near_us != 0 && now - g->near_us < NEAR_US);
+	return owner_group_is_own(g) ||
+	       (g->last_local_read_us != 0 && now - g->last_local_read_us < LOCAL_READER_FRESH_US);
 }
 
-/** VMs that usually connect to @a m: the owner, and the readers that may choose it. */
+/** Returns how many VMs usually connect to @a m: the owner, and the readers that may choose it. */
 static unsigned member_users(const struct owner_member *m)
 {
-	const struct fleet *f = og_fleet(m->g);
+	const struct fleet *f = owner_group_fleet(m->g);
 	unsigned i, users = 2;
 
-	if (m == og_primary(m->g))
+	if (m == owner_group_primary(m->g))
 		return 1;
 	for (i = 0; i < f->n_data_centers; i++)
-		users += og_has_member(m->g, f->data_center[i]) ? 0 : 1;
+		users += owner_group_has_member(m->g, f->data_center[i]) ? 0 : 1;
 	return users;
 }
 
@@ -119,7 +130,7 @@
 		job_lost(c->job, "closed");
 	else
 		conn_close(c);
-	watch_look(m);
+	watch_probe_soon(m);
 }
 
 static void on_opened(struct member_conn *mc, enum member_result result, struct pos pos, void *arg)
@@ -129,10 +140,10 @@
 	int64_t now = now_us();
 
 	if (result == MEMBER_DONE) {
-		watch_heard(m, pos, c->sent_us);
+		watch_answered(m, pos, c->sent_us);
 		c->open = true;
 		m->n_open++;
-		c->since_us = now;
+		c->state_since_us = now;
 	} else {
 		if (result == MEMBER_FULL) {
 			m->full_limit = m->n_open;
@@ -149,7 +160,7 @@
 			 LOG_STR("member", m->conf.name),
 			 LOG_STR("result", member_result_name(result)),
 			 LOG_NUM("connections", m->n_conns));
-		watch_look(m);
+		watch_probe_soon(m);
 	}
 	job_conn_opened(c, result);
 }
@@ -162,23 +173,23 @@
 	g_strlcpy(c->team, team, sizeof(c->team));
 	c->values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	c->prepared = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	c->since_us = now_us();
-	c->sent_us = c->since_us;
+	c->state_since_us = now_us();
+	c->sent_us = c->state_since_us;
 	TAILQ_INSERT_TAIL(&m->conns, c, link);
 	m->n_conns++;
-	watch_sent(m, c->since_us);
+	watch_sent(m, c->state_since_us);
 	c->mc = ops_of(m)->open(m->g->o->service.kernel, m->conf.address, m->g->pool, team,
 				m->conf.name, on_opened, on_closed, c);
 	return c;
 }
 
-/** The idle connection that was unused for longest. */
+/** Returns the connection that has been idle for the longest time. */
 static struct owner_conn *conn_oldest_idle(const struct owner_member *m)
 {
 	struct owner_conn *c, *best = NULL;
 
 	TAILQ_FOREACH(c, &m->conns, link) {
-		if (conn_idle(c) && (best == NULL || c->since_us < best->since_us))
+		if (conn_idle(c) && (best == NULL || c->state_since_us < best->state_since_us))
 			best = c;
 	}
 	return best;
@@ -208,17 +219,20 @@
 {
 	struct owner_conn *c, *best = NULL;
 
-	/* The one used last: its prepared names and values are the likeliest to fit. */
+	/* Prefer the one used last, whose prepared statements and values most likely fit. */
 	TAILQ_FOREACH(c, &m->conns, link) {
 		if (conn_idle(c) && strcmp(c->team, team) == 0 &&
-		    (best == NULL || c->since_us > best->since_us))
+		    (best == NULL || c->state_since_us > best->state_since_us))
 			best = c;
 	}
 	if (best != NULL)
 		return best;
 	if (now_us() < m->open_after_us)
 		return NULL;
-	/* A connection is one team's for good: another team's makes room, if one is unused. */
+	/*
+	 * A connection belongs to one team until it is closed. An idle one of another team is
+	 * closed to make room.
+	 */
 	c = m->n_conns >= conn_usual(m) ? conn_oldest_idle(m) : NULL;
 	if (c != NULL)
 		conn_close(c);
@@ -232,25 +246,25 @@
 	struct owner_member *m = c->m;
 
 	c->job = NULL;
-	c->since_us = now_us();
+	c->state_since_us = now_us();
 	if (c->tx != NULL)
 		return;
-	if (state != TX_NONE || !m->listed || m->down || (m->g->yielded && !m->g->reading)) {
+	if (state != TX_NONE || !m->listed || m->down || (m->g->yielded && !m->g->serves_reads)) {
 		conn_close(c);
 		return;
 	}
-	/* After handing over, what is idle only takes room from the new owner. */
-	if (!og_mine(m->g) && !m->g->reading)
+	/* After a hand-over, idle connections only take room from the new owner. */
+	if (!owner_group_is_own(m->g) && !m->g->serves_reads)
 		conn_close(c);
 }
 
-void conn_distrust(struct owner_member *m)
+void conn_close_stale(struct owner_member *m)
 {
 	int64_t now = now_us();
 	struct owner_conn *c, *next;
 
 	TAILQ_FOREACH_SAFE(c, &m->conns, link, next) {
-		if (conn_idle(c) && now - c->since_us > IDLE_KEEP_US)
+		if (conn_idle(c) && now - c->state_since_us > IDLE_KEEP_US)
 			conn_close(c);
 	}
 }
@@ -277,21 +291,21 @@
 	}
 }
 
-/** Unused connections that are kept for longer than IDLE_KEEP_US. */
-static unsigned conn_keep(const struct owner_member *m, int64_t now)
+/** Returns how many unused connections are kept for longer than IDLE_KEEP_US. */
+static unsigned idle_conns_to_keep(const struct owner_member *m, int64_t now)
 {
 	unsigned all = m->conf.connections;
 	struct keep_member k = {.slots = m->conf.slots};
 
-	if (!is_user(m->g, now) || (m->full_us != 0 && now - m->full_us < WANTED_US))
+	if (!is_user(m->g, now) || (m->full_us != 0 && now - m->full_us < FULL_RECENT_US))
 		return 0;
-	k.connections = all > CONNECTIONS_FOR_LOOKS ? all - CONNECTIONS_FOR_LOOKS : 0;
+	k.connections = all > PROBE_CONNECTIONS ? all - PROBE_CONNECTIONS : 0;
 	k.users = member_users(m);
 	k.most = keep_most(&m->use);
 	return keep_unused(&k);
 }
 
-/** Close what rests for too long, the longest unused first. */
+/** Closes connections that have been unused for too long, the oldest first. */
 static void close_unused(struct owner_member *m, int64_t now)
 {
 	struct owner_conn *c;
@@ -300,13 +314,13 @@
 	TAILQ_FOREACH(c, &m->conns, link)
 		unused += conn_idle(c) ? 1 : 0;
 	keep_note(&m->use, m->n_conns - unused, now);
-	keep = unused > 0 ? conn_keep(m, now) : 0;
+	keep = unused > 0 ? idle_conns_to_keep(m, now) : 0;
 	while (unused > 0) {
-		int64_t rests;
+		int64_t unused_us;
 
 		c = conn_oldest_idle(m);
-		rests = now - c->since_us;
-		if (rests <= (unused > keep ? IDLE_KEEP_US : IDLE_KEEP_MAX_US))
+		unused_us = now - c->state_since_us;
+		if (unused_us <= (unused > keep ? IDLE_KEEP_US : IDLE_KEEP_MAX_US))
 			return;
 		conn_close(c);
 		unused--;
@@ -318,16 +332,16 @@
 	struct owner_conn *c, *next;
 
 	TAILQ_FOREACH_SAFE(c, &m->conns, link, next) {
-		if (!c->open && now - c->since_us > OPEN_TIMEOUT_US) {
+		if (!c->open && now - c->state_since_us > OPEN_TIMEOUT_US) {
 			m->open_after_us = now + REFUSED_PAUSE_US;
 			log_warn("connection-silent", LOG_STR("pool", m->g->pool),
 				 LOG_STR("member", m->conf.name),
-				 LOG_NUM("waited_ms", (now - c->since_us) / USEC_PER_MSEC));
+				 LOG_NUM("waited_ms", (now - c->state_since_us) / USEC_PER_MSEC));
 			job_conn_opened(c, MEMBER_LOST);
-			/* Ending the job may have closed others. */
+			/* Ending the job may have closed other connections of the list. */
 			return;
 		}
-		if (c->abandoned && now - c->since_us > ABANDONED_US)
+		if (c->abandoned && now - c->state_since_us > ABANDONED_TIMEOUT_US)
 			conn_close(c);
 	}
 	close_unused(m, now);
@@ -356,8 +370,8 @@
 	tx->read_only = job->args->begin == STATEMENT_BEGIN_READ;
 	tx->on_primary = job->on_primary;
 	tx->term = job->term;
-	tx->used_us = now_us();
-	tx->idle_us = (int64_t)job->args->idle_tx_ms * USEC_PER_MSEC;
+	tx->last_used_us = now_us();
+	tx->idle_timeout_us = (int64_t)job->args->idle_tx_ms * USEC_PER_MSEC;
 	job->conn->tx = tx;
 	TAILQ_INSERT_TAIL(&job->g->txs, tx, link);
 	return tx;
@@ -376,14 +390,17 @@
 
 	log_info("transaction-aborted", LOG_STR("pool", c->m->g->pool),
 		 LOG_STR("member", c->m->conf.name), LOG_STR("team", c->team), LOG_STR("why", why),
-		 LOG_NUM("idle_ms", (now_us() - tx->used_us) / USEC_PER_MSEC));
+		 LOG_NUM("idle_ms", (now_us() - tx->last_used_us) / USEC_PER_MSEC));
 	if (c->job != NULL)
 		job_lost(c->job, why);
 	else
 		conn_close(c);
 }
 
-/** The entry VM's connection is gone, and with it the callers of its transactions. */
+/**
+ * Aborts the idle transactions of an entry whose RPC connection closed, since their callers are
+ * gone.
+ */
 void tx_closed(uint64_t rpc_conn, void *owner)
 {
 	struct owner *o = owner;
--- a/src/owner-fence.c
+++ b/src/owner-fence.c
@@ -1,7 +1,7 @@
 /**
  * @file owner-fence.c
- * Making sure that nobody else sends to a group's primary any more: each VM that its record names
- * as a sender has said that it stopped, or its lease has ended.
+ * Fencing: makes sure that no other VM sends to the primary of a group. Each sender that the record
+ * names must confirm that it stopped, or its lease must have ended.
  */
 #include "owner.h"
 
@@ -10,7 +10,7 @@
 
 #include <string.h>
 
-/** Answer of a sender that is asked to stop; it is asked again after that. */
+/** Time limit for the answer of a sender that is asked to stop. */
 #define YIELD_TIMEOUT_US (200 * USEC_PER_MSEC)
 
 struct fence {
@@ -20,26 +20,29 @@
 	int64_t asked_us;
 };
 
-/** The sender is known to send no more. */
+/** Removes a sender that is known to send no more from the record. */
 static void fenced(struct owner *o, const char *pool, const struct lead_vm *vm, const char *how)
 {
-	struct owner_group *g = og_find(o, pool);
+	struct owner_group *g = owner_group_find(o, pool);
 
-	if (g == NULL || !og_mine(g))
+	if (g == NULL || !owner_group_is_own(g))
 		return;
 	log_info("fenced", LOG_STR("pool", pool), LOG_STR("peer", vm->name), LOG_STR("how", how));
 	lead_remove_sender(&g->record, vm);
 }
 
-/** A sender told what it knows of the primary: one that it hears should be in reach here too. */
-static void take_report(const struct fence *f, const ml_yield_res *res)
+/**
+ * Takes what a sender reports of the primary. A primary that the sender is in contact with should
+ * be reachable from this VM too, so it is probed on a new connection.
+ */
+static void apply_report(const struct fence *f, const ml_yield_res *res)
 {
-	struct owner_group *g = og_find(f->o, f->pool);
+	struct owner_group *g = owner_group_find(f->o, f->pool);
 	struct succession_report r = {.stopped = res->stopped, .incarnation = f->vm.incarnation};
 	bool first;
 	unsigned i;
 
-	if (g == NULL || !og_mine(g))
+	if (g == NULL || !owner_group_is_own(g))
 		return;
 	r.acknowledged = (struct pos){res->acknowledged.term, res->acknowledged.lsn};
 	g_strlcpy(r.vm, f->vm.name, sizeof(r.vm));
@@ -57,8 +60,8 @@
 			 LOG_NUM("age_us", now_us() - r.heard_us));
 	for (i = 0; i < g->n; i++) {
 		if (strcmp(g->member[i].conf.name, g->succession.primary) == 0 &&
-		    g->member[i].seen_us <= g->state_us)
-			watch_look_anew(&g->member[i]);
+		    g->member[i].observed_us <= g->state_us)
+			watch_probe_reconnect(&g->member[i]);
 	}
 }
 
@@ -68,7 +71,7 @@
 	struct fence *f = arg;
 
 	if (status == RPC_DONE) {
-		take_report(f, res);
+		apply_report(f, res);
 		if (res->stopped)
 			fenced(f->o, f->pool, &f->vm, "yielded");
 	}
@@ -76,9 +79,10 @@
 }
 
 /**
- * The sender's key in the store: gone, or of a later process. Its lease has ended then, and it
- * checks its lease by a clock that runs on while it is suspended, before it sends and before it
- * believes an answer. Right after a restore of the store neither proves that.
+ * Handles the answer to a read of the sender's key in the store. If the key is gone or belongs to a
+ * later process, the sender's lease has ended. A sender checks its lease before it sends and before
+ * it trusts an answer, by a clock that continues while the VM is suspended. Right after a restore
+ * of the store the key proves nothing.
  */
 static void key_read(const struct store_answer *a, void *arg)
 {
@@ -117,7 +121,7 @@
 static void ask_sender(struct owner_group *g, const struct lead_vm *vm)
 {
 	struct kernel *k = g->o->service.kernel;
-	struct fleet *f = og_fleet(g);
+	struct fleet *f = owner_group_fleet(g);
 	struct vm *peer = peers_find(&f->peers, vm->name);
 	char *key = g_strconcat(FLEET_STORE_VMS, vm->name, NULL);
 	ml_yield_args args = {
--- a/src/owner-job.c
+++ b/src/owner-job.c
@@ -1,4 +1,4 @@
-/** @file owner-job.c One statement on a member, step by step. */
+/** @file owner-job.c Execution of one statement on a member. */
 #include "owner.h"
 
 #include "log.h"
@@ -7,15 +7,15 @@
 #include <string.h>
 
 /**
- * A read whose answer has not come by then is tried on another member. The longest work is 110 ms;
- * answers that are lost never come, and the caller would wait for its deadline.
+ * A read that is not answered within this time is retried on another member. The longest statements
+ * take 110 ms; without the retry, the caller of a lost answer would wait until its deadline.
  */
-#define READ_PATIENCE_US (250 * USEC_PER_MSEC)
-/** Tries of one statement that did not run. */
+#define READ_RETRY_AFTER_US (250 * USEC_PER_MSEC)
+/** Most attempts for one statement that did not run. */
 #define TRIES_MAX 6
-/** A member without a free slot or place is left alone for this long. */
+/** Pause before a retry after a member had no free slot or connection, or could not be used. */
 #define BUSY_PAUSE_US (4 * USEC_PER_MSEC)
-/** Weight of a new sample in a member's moving average. */
+/** Weight of a new sample in the moving average of the duration of a statement. */
 #define SERVICE_ALPHA 0.1
 
 static void job_answered(struct member_conn *mc, const struct member_answer *a, void *arg);
@@ -27,8 +27,8 @@
 	return statement_writes((enum statement_op)a->op, a->write);
 }
 
-/** Nothing is kept of it if its connection ends now. */
-static bool harmless(const struct owner_job *job)
+/** Whether no write can be lost or left in doubt if the connection closes now. */
+static bool loses_no_write(const struct owner_job *job)
 {
 	if (job->tx != NULL || job->args->begin != 0)
 		return job->args->op != STATEMENT_COMMIT || job->step == OWNER_BEGIN ||
@@ -36,20 +36,20 @@
 	return !is_write(job);
 }
 
-static void leave_slot(struct owner_job *job)
+static void release_slot(struct owner_job *job)
 {
-	if (job->slotted)
-		job->conn->m->out--;
-	job->slotted = false;
+	if (job->holds_slot)
+		job->conn->m->in_flight--;
+	job->holds_slot = false;
 }
 
 static void job_free(struct owner_job *job)
 {
-	job->g->jobs--;
+	job->g->n_jobs--;
 	g_free(job);
 }
 
-/** One line for each statement: what decided it, and how it ended. */
+/** Logs one line per statement with what decided it and its outcome. */
 static void log_run(const struct owner_job *job, enum outcome o, const ml_run_res *res, int64_t now)
 {
 	const struct log_field fields[] = {
@@ -71,7 +71,7 @@
 		log_fields(G_LOG_LEVEL_INFO, "run", fields, G_N_ELEMENTS(fields));
 }
 
-void job_put_owner(ml_run_res *res, const struct owner_group *g, uint64_t known)
+void job_fill_owner(ml_run_res *res, const struct owner_group *g, uint64_t known)
 {
 	res->owner = res->owner_address = "";
 	if (g == NULL || g->revision <= known)
@@ -96,16 +96,16 @@
 		res.pos = (ml_pos){a->pos.term, a->pos.lsn};
 	}
 	if (job->tx != NULL) {
-		job->tx->used_us = now;
+		job->tx->last_used_us = now;
 		res.transaction = job->tx->id;
 		res.state = job->tx->failed ? TX_FAILED : TX_OPEN;
 	}
 	res.retry_after_us = (u_int)retry_after_us;
-	if (og_mine(g) && g->marks.newest.pos.term != 0) {
+	if (owner_group_is_own(g) && g->marks.newest.pos.term != 0) {
 		res.mark = (ml_pos){g->marks.newest.pos.term, g->marks.newest.pos.lsn};
 		res.mark_age_us = (u_int)MIN(now - g->marks.newest.asked_us, UINT_MAX);
 	}
-	job_put_owner(&res, g, job->args->owner_revision);
+	job_fill_owner(&res, g, job->args->owner_revision);
 	log_run(job, o, &res, now);
 	rpc_reply(job->rq, &res);
 }
@@ -117,14 +117,14 @@
 	job_free(job);
 }
 
-/** Take the job off its connection, which is then released as @a state says, or closed. */
+/** Detaches the job from its connection, which is released in state @a state or closed. */
 static void job_detach(struct owner_job *job, bool close, enum tx_state state)
 {
 	struct owner_conn *c = job->conn;
 
 	if (c == NULL)
 		return;
-	leave_slot(job);
+	release_slot(job);
 	TAILQ_REMOVE(&job->g->running, job, link);
 	job->conn = NULL;
 	c->job = NULL;
@@ -136,7 +136,10 @@
 	}
 }
 
-/** Answer before the connection, which holds the answer's texts, is let go. */
+/**
+ * Answers and frees the job. The answer is sent before the connection is released, since the
+ * connection owns the texts of the answer.
+ */
 static void job_finish(struct owner_job *job, enum outcome o, const struct member_answer *a)
 {
 	job_reply(job, o, a, 0);
@@ -144,8 +147,8 @@
 	job_free(job);
 }
 
-/** The statement did not run: another try, or the refusal. */
-static void job_again(struct owner_job *job, enum outcome refusal, int64_t pause_us)
+/** Retries a statement that did not run, or refuses it if its attempts or its time are used up. */
+static void job_retry(struct owner_job *job, enum outcome refusal, int64_t pause_us)
 {
 	int64_t now = now_us();
 
@@ -155,14 +158,14 @@
 		return;
 	}
 	job->not_before_us = now + pause_us;
-	queue_again(job);
+	queue_retry(job);
 }
 
 void job_lost(struct owner_job *job, const char *why)
 {
 	struct owner_group *g = job->g;
 	bool in_tx = job->tx != NULL || job->step == OWNER_BEGIN;
-	bool safe = harmless(job);
+	bool safe = loses_no_write(job);
 	bool begun = job->step == OWNER_STATEMENT || job->step == OWNER_BEGIN;
 
 	log_warn("statement-lost", LOG_STR("request", job->args->request), LOG_STR("pool", g->pool),
@@ -171,27 +174,30 @@
 		 LOG_NUM("us", now_us() - job->received_us));
 	job_detach(job, true, TX_NONE);
 	if (!begun)
-		job_again(job, OUTCOME_NO_CONNECTION, BUSY_PAUSE_US);
+		job_retry(job, OUTCOME_NO_CONNECTION, BUSY_PAUSE_US);
 	else if (!safe)
 		job_end(job, OUTCOME_LOST, NULL, 0);
 	else if (in_tx && job->args->begin == 0)
 		job_end(job, OUTCOME_TX_LOST, NULL, 0);
 	else
-		job_again(job, in_tx ? OUTCOME_TX_LOST : OUTCOME_LOST, 0);
+		job_retry(job, in_tx ? OUTCOME_TX_LOST : OUTCOME_LOST, 0);
 	queue_dispatch(g);
 }
 
-/** The job is over for its caller; what is out on its connection may still be answered. */
+/**
+ * Detaches the job while its statement is still running on the connection, whose answer will be
+ * ignored.
+ */
 static void job_abandon(struct owner_job *job)
 {
 	struct owner_conn *c = job->conn;
 
-	leave_slot(job);
+	release_slot(job);
 	TAILQ_REMOVE(&job->g->running, job, link);
 	job->conn = NULL;
 	c->job = NULL;
 	c->abandoned = true;
-	c->since_us = now_us();
+	c->state_since_us = now_us();
 }
 
 void job_expire(struct owner_job *job, int64_t now)
@@ -200,15 +206,15 @@
 	struct owner_conn *c = job->conn;
 	bool single_read = job->tx == NULL && job->args->begin == 0 && !is_write(job);
 
-	if (single_read && job->step == OWNER_STATEMENT && now - job->sent_us > READ_PATIENCE_US &&
-	    now < job->deadline_us) {
+	if (single_read && job->step == OWNER_STATEMENT &&
+	    now - job->sent_us > READ_RETRY_AFTER_US && now < job->deadline_us) {
 		log_warn("read-elsewhere", LOG_STR("request", job->args->request),
 			 LOG_STR("pool", g->pool), LOG_STR("member", c->m->conf.name),
 			 LOG_NUM("waited_us", now - job->sent_us));
-		job->tried |= (uint8_t)(1U << c->m->index);
-		conn_distrust(c->m);
+		job->tried_members |= (uint8_t)(1U << c->m->index);
+		conn_close_stale(c->m);
 		job_abandon(job);
-		job_again(job, OUTCOME_LOST, 0);
+		job_retry(job, OUTCOME_LOST, 0);
 		queue_dispatch(g);
 		return;
 	}
@@ -222,9 +228,9 @@
 	job_lost(job, "deadline");
 }
 
-/* Sending */
+/* Sending statements */
 
-bool job_need(const struct owner_job *job, struct pos *need)
+bool job_needed_pos(const struct owner_job *job, struct pos *need)
 {
 	const ml_run_args *a = job->args;
 	const struct marks *marks = &job->g->marks;
@@ -239,13 +245,16 @@
 	return true;
 }
 
-/** The position that is sent along; none to a primary. @return false as job_need() */
-static bool needed(const struct owner_job *job, struct pos *need)
+/**
+ * Determines the position sent along with the statement; none to a primary. @return as
+ * job_needed_pos()
+ */
+static bool needed_pos(const struct owner_job *job, struct pos *need)
 {
 	*need = (struct pos){0};
 	if (job->on_primary || is_write(job) || job->tx != NULL)
 		return true;
-	return job_need(job, need);
+	return job_needed_pos(job, need);
 }
 
 static void send_commands(struct owner_job *job, const struct member_command *commands, unsigned n)
@@ -254,16 +263,19 @@
 	int64_t now = now_us();
 
 	job->sent_us = now;
-	c->since_us = now;
+	c->state_since_us = now;
 	c->sent_us = now;
 	watch_sent(c->m, now);
-	if (!job->slotted) {
-		job->slotted = true;
-		c->m->out++;
+	if (!job->holds_slot) {
+		job->holds_slot = true;
+		c->m->in_flight++;
 	}
-	/* Statements of open transactions can't wait: those after them do. */
+	/*
+	 * Statements of open transactions are not held back by the limit of a cold member; they are
+	 * charged to it, so that later ones wait.
+	 */
 	if (c->m->conf.cold)
-		bucket_credit(&c->m->cold, -1, now);
+		bucket_credit(&c->m->cold_bucket, -1, now);
 	c->mc->ops->run(c->mc, commands, n, job_answered);
 }
 
@@ -293,8 +305,8 @@
 }
 
 /**
- * Begin the transaction, and only then send its first statement: sent together, a begin that was
- * refused would leave the statement to run outside of any transaction.
+ * Begins the transaction; its first statement is sent after the answer. Sent together, a refused
+ * begin would let the statement run outside of a transaction.
  */
 static void send_begin(struct owner_job *job, struct pos need)
 {
@@ -307,25 +319,25 @@
 	send_commands(job, commands, n + 1);
 }
 
-static bool believable(const struct owner_job *job);
+static bool is_trusted(const struct owner_job *job);
 
 /**
- * The connection is open: send. While it opened this VM may have claimed the group, or lost it, and
- * with that what it knew: a read without the position that it needs would see data that is too old,
- * and a primary may have been replaced.
+ * Sends the statement once the connection is open. While it opened, this VM may have claimed or
+ * lost the group and dropped its marks. A read without its required position would see data that is
+ * too old, and the primary may have been replaced.
  */
 static void job_send(struct owner_job *job)
 {
 	struct pos need;
-	bool known = needed(job, &need);
+	bool known = needed_pos(job, &need);
 
 	job->need = need;
 
-	if (!known || !believable(job)) {
+	if (!known || !is_trusted(job)) {
 		log_info("not-sent", LOG_STR("request", job->args->request),
 			 LOG_STR("pool", job->g->pool), LOG_NUM("position_known", known));
 		job_detach(job, false, TX_NONE);
-		job_again(job, known ? OUTCOME_NOT_PRIMARY : OUTCOME_BEHIND, BUSY_PAUSE_US);
+		job_retry(job, known ? OUTCOME_NOT_PRIMARY : OUTCOME_BEHIND, BUSY_PAUSE_US);
 		return;
 	}
 	if (job->args->begin != 0)
@@ -342,11 +354,11 @@
 		return false;
 	job->conn = c;
 	job->term = m->g->term;
-	job->on_primary = og_mine(m->g) && m == og_primary(m->g);
+	job->on_primary = owner_group_is_own(m->g) && m == owner_group_primary(m->g);
 	c->job = job;
 	TAILQ_INSERT_TAIL(&job->g->running, job, link);
-	m->out++;
-	job->slotted = true;
+	m->in_flight++;
+	job->holds_slot = true;
 	if (c->open) {
 		job_send(job);
 	} else {
@@ -380,13 +392,13 @@
 		conn_close(c);
 		return;
 	}
-	job->tried |= (uint8_t)(1U << c->m->index);
+	job->tried_members |= (uint8_t)(1U << c->m->index);
 	job_detach(job, true, TX_NONE);
-	job_again(job, OUTCOME_NO_CONNECTION, BUSY_PAUSE_US);
+	job_retry(job, OUTCOME_NO_CONNECTION, BUSY_PAUSE_US);
 	queue_dispatch(g);
 }
 
-/* Answers */
+/* Handling answers */
 
 static enum outcome outcome_of(enum member_result r)
 {
@@ -402,7 +414,7 @@
 	return outcomes[r];
 }
 
-/** A statement that ran in no transaction was refused, or failed. */
+/** Handles a refused or failed statement outside of a transaction. */
 static void after_error(struct owner_job *job, const struct member_answer *a)
 {
 	struct owner_conn *c = job->conn;
@@ -413,7 +425,7 @@
 	case MEMBER_NO_NAME:
 		g_hash_table_remove_all(c->prepared);
 		job_detach(job, a->prelude_failed, a->state);
-		job_again(job, OUTCOME_NO_NAME, 0);
+		job_retry(job, OUTCOME_NO_NAME, 0);
 		return;
 	case MEMBER_BEHIND:
 		log_info("behind", LOG_STR("request", job->args->request),
@@ -422,25 +434,25 @@
 			 LOG_NUM("has_lsn", a->pos.lsn),
 			 LOG_NUM("max_age_ms", job->args->max_age_us / USEC_PER_MSEC),
 			 LOG_NUM("mark_age_us", now_us() - job->g->marks.newest.asked_us));
-		job->tried |= (uint8_t)(1U << index);
+		job->tried_members |= (uint8_t)(1U << index);
 		job_detach(job, false, a->state);
-		job_again(job, OUTCOME_BEHIND, 0);
+		job_retry(job, OUTCOME_BEHIND, 0);
 		return;
 	case MEMBER_READ_ONLY:
-		watch_look(m);
+		watch_probe_soon(m);
 		job_detach(job, false, a->state);
-		job_again(job, OUTCOME_NOT_PRIMARY, BUSY_PAUSE_US);
+		job_retry(job, OUTCOME_NOT_PRIMARY, BUSY_PAUSE_US);
 		return;
 	case MEMBER_BUSY:
 		job_detach(job, false, a->state);
-		job_again(job, OUTCOME_QUEUE_FULL, BUSY_PAUSE_US);
+		job_retry(job, OUTCOME_QUEUE_FULL, BUSY_PAUSE_US);
 		return;
 	case MEMBER_FAILED:
 	case MEMBER_TIMEOUT:
 		if (!is_write(job) && job->tries < 2) {
-			job->tried |= (uint8_t)(1U << index);
+			job->tried_members |= (uint8_t)(1U << index);
 			job_detach(job, false, a->state);
-			job_again(job, OUTCOME_SQL_ERROR, 0);
+			job_retry(job, OUTCOME_SQL_ERROR, 0);
 			return;
 		}
 		break;
@@ -464,7 +476,10 @@
 	send_statement(job, (struct pos){0});
 }
 
-/** A statement inside a transaction was answered; a failed one leaves the transaction failed. */
+/**
+ * Handles the answer to a statement inside a transaction. A failed statement leaves the transaction
+ * failed.
+ */
 static void after_tx_statement(struct owner_job *job, const struct member_answer *a)
 {
 	bool commit = job->args->op == STATEMENT_COMMIT;
@@ -475,7 +490,7 @@
 
 	tx->failed = a->state == TX_FAILED;
 	if (!ends && a->state != TX_NONE) {
-		/* The transaction is still there, failed or not, and waits for its end. */
+		/* The transaction is still open, failed or not, and waits for its end. */
 		if (o == OUTCOME_BEHIND || o == OUTCOME_READ_ONLY)
 			o = tx->read_only ? o : OUTCOME_TX_LOST;
 		job_finish(job, o, a);
@@ -486,27 +501,27 @@
 	if (!ends)
 		o = o == OUTCOME_DONE ? OUTCOME_TX_LOST : o;
 	if (job->args->op == STATEMENT_ROLLBACK || a->result != MEMBER_DONE)
-		c->values_unsure = c->values_unsure || g_hash_table_size(c->values) > 0;
+		c->values_uncertain = c->values_uncertain || g_hash_table_size(c->values) > 0;
 	else
-		c->values_unsure = false;
+		c->values_uncertain = false;
 	job->tx = NULL;
 	tx_free(tx);
 	job_finish(job, o, a);
 }
 
 /**
- * Whether the answer may be told. An answer that a replaced primary gave would acknowledge a write
- * that is discarded, or show a read what is no longer true: this VM must still hold its lease, and
- * the member must still be the primary it was when the statement was sent.
+ * Whether an answer may be passed on. An answer of a replaced primary would acknowledge a write
+ * that is discarded, or show outdated data to a read. This VM must still hold its lease, and the
+ * member must still be the primary of the same term as when the statement was sent.
  */
-static bool believable(const struct owner_job *job)
+static bool is_trusted(const struct owner_job *job)
 {
 	const struct owner_group *g = job->g;
 	const struct owner_member *m = job->conn->m;
 
 	if (!job->on_primary)
 		return true;
-	return og_may_send(g) && g->primary == (int)m->index && g->term == job->term;
+	return owner_group_may_send(g) && g->primary == (int)m->index && g->term == job->term;
 }
 
 static void job_answered(struct member_conn *mc, const struct member_answer *a, void *arg)
@@ -523,12 +538,12 @@
 			job_lost(job, "connection");
 		else
 			conn_close(c);
-		watch_look(m);
+		watch_probe_soon(m);
 		return;
 	}
-	watch_heard(m, a->result == MEMBER_DONE ? a->pos : (struct pos){0}, c->sent_us);
+	watch_answered(m, a->result == MEMBER_DONE ? a->pos : (struct pos){0}, c->sent_us);
 	if (job == NULL) {
-		/* Nobody waits for this answer any more; the connection is whole again. */
+		/* The caller was already answered; the connection can be used again. */
 		c->abandoned = false;
 		conn_release(c, a->state);
 		queue_dispatch(g);
@@ -539,11 +554,11 @@
 		stat_time(STAT_TIME_QUEUE, job->sent_us - job->received_us);
 	m->service_us += SERVICE_ALPHA * ((double)(now - job->sent_us) - m->service_us);
 	fairq_served(queue_of(job), now - job->sent_us);
-	if (!believable(job)) {
+	if (!is_trusted(job)) {
 		job_lost(job, "not-believable");
 		return;
 	}
-	leave_slot(job);
+	release_slot(job);
 	if (job->step == OWNER_BEGIN)
 		after_begin(job, a);
 	else if (job->tx != NULL)
@@ -551,7 +566,8 @@
 	else if (a->result != MEMBER_DONE)
 		after_error(job, a);
 	else {
-		stat_add(m == og_primary(g) ? STAT_READS_BY_PRIMARY : STAT_READS_BY_REPLICA,
+		stat_add(m == owner_group_primary(g) ? STAT_READS_BY_PRIMARY
+						     : STAT_READS_BY_REPLICA,
 			 is_write(job) ? 0 : 1);
 		stat_add(STAT_WRITES, is_write(job) ? 1 : 0);
 		job_finish(job, OUTCOME_DONE, a);
--- a/src/owner-queue.c
+++ b/src/owner-queue.c
@@ -1,4 +1,4 @@
-/** @file owner-queue.c Statements that wait at the owner, and the member for each. */
+/** @file owner-queue.c Queues of statements at the owner, and the choice of the member for each. */
 #include "owner.h"
 
 #include "log.h"
@@ -9,19 +9,21 @@
 #include <string.h>
 
 /**
- * Reads that wait at a reader of one data centre, at most; others go to the owner, which has all
- * the replicas.
+ * Most reads that wait at the reader of a data centre. Further ones go to the owner, which can use
+ * all replicas.
  */
 #define READER_WAITING_MAX 4
-/** A reader asks the owner for news of the newest write when its own is older. */
-#define MARK_OLD_US (250 * USEC_PER_MSEC)
-/** Statements waiting for one group, at most. */
+/** Age of its newest mark at which a reader asks the owner for a newer one. */
+#define MARK_MAX_AGE_US (250 * USEC_PER_MSEC)
+/** Most statements that wait in one queue of a group. */
 #define QUEUE_MAX 2000
 /**
- * What is known of a replica's position is believed for so long; after that the replica may have
+ * How long the known position of a replica is used to rule it out. After that the replica may have
  * caught up, and asking it costs one round trip.
  */
 #define POSITION_FRESH_US (30 * USEC_PER_MSEC)
+/** Most jobs without a member that one round moves from a queue to the list held. */
+#define BLOCKED_MAX 4
 
 void queue_init(struct owner_group *g)
 {
@@ -54,53 +56,59 @@
 
 static bool member_has_room(const struct owner_member *m)
 {
-	return m->out < m->conf.slots + PLACE_AHEAD;
+	return m->in_flight < m->conf.slots + PLACE_AHEAD;
 }
 
-/** Whether a cold member takes a statement now. */
+/** Whether the limit of a cold member allows a statement now. */
 static bool cold_admits(struct owner_member *m, int64_t now)
 {
-	return !m->conf.cold || bucket_wait_us(&m->cold, 1, now) == 0;
+	return !m->conf.cold || bucket_wait_us(&m->cold_bucket, 1, now) == 0;
 }
 
-/** A cold member's limit is kept by the group's owner alone. */
+/**
+ * Whether a member may serve reads. The limit of a cold member is kept by the owner alone, so other
+ * VMs do not use it.
+ */
 static bool member_usable(const struct owner_member *m)
 {
-	if (m->conf.cold && !og_mine(m->g))
+	if (m->conf.cold && !owner_group_is_own(m->g))
 		return false;
 	return m->listed && !m->down && !conf_member_leaves(&m->conf);
 }
 
-/* The member for a read */
+/* Choice of the member */
 
-/** Whether a replica is thought to hold @a need, and was not tried in vain. */
+/** Whether a replica may hold @a need and has not failed to serve this job. */
 static bool replica_fits(const struct owner_job *job, const struct owner_member *m, struct pos need,
 			 int64_t now)
 {
-	if (job->tried & (1U << m->index))
+	if (job->tried_members & (1U << m->index))
 		return false;
-	return pos_cmp(m->pos, need) >= 0 || now - m->pos_us > POSITION_FRESH_US;
+	return pos_cmp(m->pos, need) >= 0 || now - m->pos_updated_us > POSITION_FRESH_US;
 }
 
-/** A VM that does not own the group has the owner's word on which member leads. */
+/**
+ * Whether the member at @a i is the primary. A VM that does not own the group uses the last report
+ * of the owner.
+ */
 static bool is_primary(const struct owner_group *g, unsigned i)
 {
-	if (og_mine(g))
+	if (owner_group_is_own(g))
 		return (int)i == g->primary;
-	return strcmp(g->member[i].conf.name, g->told_primary) == 0;
+	return strcmp(g->member[i].conf.name, g->reported_primary) == 0;
 }
 
-/** Whether the primary may be sent to now. */
+/** Whether statements may be sent to the primary now. */
 static bool primary_usable(const struct owner_group *g, const struct owner_member *m)
 {
-	return g->state == OWNER_SERVING && og_may_send(g) && !m->down;
+	return g->state == OWNER_SERVING && owner_group_may_send(g) && !m->down;
 }
 
-/** The primary, for what needs it. */
+/** Returns the primary if it can take the statement now, else NULL. */
 static struct owner_member *pick_primary(const struct owner_job *job, int64_t now)
 {
 	struct owner_group *g = job->g;
-	struct owner_member *m = og_primary(g);
+	struct owner_member *m = owner_group_primary(g);
 
 	if (m == NULL || !primary_usable(g, m) || !member_has_room(m) ||
 	    !conn_available(m, job->args->team) || !cold_admits(m, now))
@@ -108,70 +116,78 @@
 	return m;
 }
 
-/** Whether @a m can serve the read, as far as is known here. */
+/**
+ * Whether @a m can serve the read as far as this VM knows. @param need required position, or NULL
+ * if unknown
+ */
 static bool member_fits(const struct owner_job *job, const struct owner_member *m,
 			const struct pos *need, int64_t now)
 {
 	const struct owner_group *g = job->g;
 
-	if (og_mine(g) && is_primary(g, m->index))
+	if (owner_group_is_own(g) && is_primary(g, m->index))
 		return primary_usable(g, m);
 	return need != NULL && member_usable(m) && replica_fits(job, m, *need, now);
 }
 
-/** The member for a read; what is not in its reach does not fit. */
+/** Chooses the member for a read among those that its reader may use. */
 static struct place_outcome pick_reader(const struct owner_job *job, int64_t now)
 {
 	struct owner_group *g = job->g;
 	const char *here = g->o->service.kernel->settings->data_center;
-	bool only_near = job->args->reader == READER_NEAR && !og_mine(g) && og_has_member(g, here);
+	bool only_local = job->args->reader == READER_LOCAL && !owner_group_is_own(g) &&
+			  owner_group_has_member(g, here);
 	struct place_member p[GROUP_MEMBERS_MAX] = {0};
 	struct pos need;
-	bool known = job_need(job, &need);
+	bool known = job_needed_pos(job, &need);
 	unsigned i;
 
 	for (i = 0; i < g->n; i++) {
 		struct owner_member *m = &g->member[i];
 
 		p[i].near = strcmp(m->conf.data_center, here) == 0;
-		if ((only_near && !p[i].near) || !member_fits(job, m, known ? &need : NULL, now))
+		if ((only_local && !p[i].near) || !member_fits(job, m, known ? &need : NULL, now))
 			continue;
 		p[i].fits = true;
 		p[i].free = conn_available(m, job->args->team) && cold_admits(m, now);
 		p[i].ready = conn_ready(m, job->args->team);
 		p[i].primary = is_primary(g, i);
-		p[i].last = conf_member_leaves(&m->conf) || !og_mine(g);
-		p[i].out = m->out;
+		p[i].last = conf_member_leaves(&m->conf) || !owner_group_is_own(g);
+		p[i].out = m->in_flight;
 		p[i].slots = m->conf.slots;
 		p[i].service_us = m->service_us;
 	}
 	return place_read(p, g->n);
 }
 
-/** @param hopeless set when no member here will ever serve it: the owner is to be asked */
-static struct owner_member *pick(const struct owner_job *job, int64_t now, bool *hopeless)
+/**
+ * Chooses the member for a job. @param unservable set if no member of this VM will ever serve it,
+ * so that the owner must be asked
+ */
+static struct owner_member *pick(const struct owner_job *job, int64_t now, bool *unservable)
 {
 	struct owner_group *g = job->g;
 	struct place_outcome p;
 
-	*hopeless = false;
+	*unservable = false;
 	if (now < job->not_before_us)
 		return NULL;
 	if (job->needs_primary)
 		return pick_primary(job, now);
 	p = pick_reader(job, now);
-	*hopeless = p.verdict == PLACE_NONE && job->args->reader != READER_OWNER && !og_mine(g);
+	*unservable = p.verdict == PLACE_NONE && job->args->reader != READER_OWNER &&
+		      !owner_group_is_own(g);
 	return p.verdict == PLACE_MEMBER ? &g->member[p.member] : NULL;
 }
 
-/* Refusals */
+/* Refusing statements */
 
 static void refuse(struct rpc_request *rq, const ml_run_args *a, const struct owner_group *g,
 		   enum outcome o, int64_t retry_after_us)
 {
 	ml_run_res res = {.outcome = (int)o, .message = "", .signature = ""};
 
-	job_put_owner(&res, g, a->owner_revision);
+	job_fill_owner(&res, g, a->owner_revision);
 	res.retry_after_us = (u_int)retry_after_us;
 	log_info("refused", LOG_STR("request", a->request), LOG_STR("team", a->team),
 		 LOG_STR("pool", a->pool), LOG_STR("outcome", outcome_text(o)->name),
@@ -201,42 +217,43 @@
 	}
 	while ((job = TAILQ_FIRST(&jobs)) != NULL) {
 		TAILQ_REMOVE(&jobs, job, link);
-		job_end(job, o, NULL, og_wait_us(g, now_us()));
+		job_end(job, o, NULL, owner_group_expected_wait_us(g, now_us()));
 	}
 }
 
-/* Waiting and starting */
+/* Queueing and starting */
 
-void queue_again(struct owner_job *job)
+void queue_retry(struct owner_job *job)
 {
 	TAILQ_INSERT_TAIL(&job->g->held, job, link);
 }
 
-/** No member here will serve the read: its entry asks the owner. */
-static void end_hopeless(struct owner_job *job)
+/** Ends a read that no member of this VM will serve, so that its entry asks the owner. */
+static void end_unservable(struct owner_job *job)
 {
 	const struct owner_group *g = job->g;
 
 	log_info("no-replica-fits", LOG_STR("request", job->args->request),
 		 LOG_STR("pool", g->pool), LOG_NUM("reader", job->args->reader),
-		 LOG_NUM("tried", job->tried), LOG_NUM("mark_term", g->marks.newest.pos.term),
+		 LOG_NUM("tried", job->tried_members),
+		 LOG_NUM("mark_term", g->marks.newest.pos.term),
 		 LOG_NUM("mark_lsn", g->marks.newest.pos.lsn),
 		 LOG_NUM("mark_age_us", now_us() - g->marks.newest.asked_us));
 	job_end(job, OUTCOME_BEHIND, NULL, 0);
 }
 
-/** Start what was next before and can be started now. */
+/** Starts those of the dequeued jobs that had no member before and have one now. */
 static void dispatch_held(struct owner_group *g, int64_t now)
 {
 	struct owner_job *job, *next;
 
 	TAILQ_FOREACH_SAFE(job, &g->held, link, next) {
-		bool hopeless;
-		struct owner_member *m = pick(job, now, &hopeless);
+		bool unservable;
+		struct owner_member *m = pick(job, now, &unservable);
 
-		if (hopeless) {
+		if (unservable) {
 			TAILQ_REMOVE(&g->held, job, link);
-			end_hopeless(job);
+			end_unservable(job);
 			continue;
 		}
 		if (m == NULL)
@@ -250,27 +267,27 @@
 }
 
 /**
- * Start items of @a q. One that no member can serve now is held, so that it does not keep those
- * behind it waiting; when several are held already, no more are taken.
+ * Starts jobs of @a q. A job that no member can serve now is moved to the list held, so that it
+ * does not block those behind it. After BLOCKED_MAX such jobs no more are taken from the queue.
  */
 static void dispatch_queue(struct owner_group *g, struct fairq *q, int64_t now)
 {
-	unsigned stuck = 0;
+	unsigned blocked = 0;
 	struct fairq_item *item;
 
-	while (stuck < 4 && (item = fairq_next(q)) != NULL) {
+	while (blocked < BLOCKED_MAX && (item = fairq_next(q)) != NULL) {
 		struct owner_job *job = (struct owner_job *)item;
-		bool hopeless;
-		struct owner_member *m = pick(job, now, &hopeless);
+		bool unservable;
+		struct owner_member *m = pick(job, now, &unservable);
 
-		if (hopeless) {
-			end_hopeless(job);
+		if (unservable) {
+			end_unservable(job);
 			continue;
 		}
 		if (m != NULL && job_start(job, m))
 			continue;
 		TAILQ_INSERT_TAIL(&g->held, job, link);
-		stuck++;
+		blocked++;
 	}
 }
 
@@ -287,7 +304,7 @@
 
 static bool write_room(struct owner_group *g)
 {
-	const struct owner_member *m = og_primary(g);
+	const struct owner_member *m = owner_group_primary(g);
 
 	return m != NULL && g->state == OWNER_SERVING && member_has_room(m);
 }
@@ -302,7 +319,10 @@
 	return n;
 }
 
-/** Jobs that are held back while they have no member, before no more are taken from a queue. */
+/**
+ * Most jobs in the list held, counted apart for primary and reads, before no more are taken from a
+ * queue.
+ */
 #define HELD_MAX 8
 
 void queue_dispatch(struct owner_group *g)
@@ -310,7 +330,7 @@
 	int64_t now = now_us();
 	unsigned i;
 
-	/* Starting a job may end others, which asks for another round. */
+	/* Starting a job may end other jobs, which calls this function again. */
 	if (g->dispatching) {
 		g->dispatch_again = true;
 		return;
@@ -331,7 +351,7 @@
 	g->dispatching = false;
 }
 
-/** Whether only the primary may serve it. */
+/** Whether only the primary may serve the statement. */
 static bool needs_primary(const ml_run_args *a)
 {
 	if (a->begin == STATEMENT_BEGIN_READ)
@@ -353,11 +373,14 @@
 	job->deadline_us = job->received_us + (int64_t)a->deadline_us;
 	job->item.deadline_us = job->deadline_us;
 	job->needs_primary = needs_primary(a);
-	g->jobs++;
+	g->n_jobs++;
 	return job;
 }
 
-/** A statement of an open transaction: its connection waits for it alone. */
+/**
+ * Runs a statement of an open transaction. It does not wait in a queue, since the connection is
+ * reserved for the transaction.
+ */
 static void run_in_tx(struct owner_group *g, struct rpc_request *rq, const ml_run_args *a)
 {
 	struct owner_tx *tx = tx_find(g, a->transaction);
@@ -367,24 +390,26 @@
 		refuse(rq, a, g, OUTCOME_TX_LOST, 0);
 		return;
 	}
-	/* The caller is gone. */
+	/* An entry sends STATEMENT_BAD when the caller has disconnected. */
 	if (a->op == STATEMENT_BAD) {
 		tx_abort(tx, "caller-gone");
 		refuse(rq, a, g, OUTCOME_TX_LOST, 0);
 		return;
 	}
-	if (tx->on_primary && !og_may_send(g)) {
+	if (tx->on_primary && !owner_group_may_send(g)) {
 		tx_abort(tx, "may-not-send");
 		refuse(rq, a, g, OUTCOME_TX_LOST, 0);
 		return;
 	}
-	tx->used_us = now_us();
+	tx->last_used_us = now_us();
 	job = job_create(g, rq, a);
 	job->tx = tx;
 	job_start_in_tx(job);
 }
 
-/** Whether reads wait here for longer than they would at the owner's other replicas. */
+/**
+ * Whether reads wait at this reader for longer than they would for the other replicas of the owner.
+ */
 static bool reader_busy(const struct owner_group *g)
 {
 	unsigned i, waiting = 0;
@@ -395,8 +420,8 @@
 }
 
 /**
- * A read that this VM serves though it is not the owner: replicas tell whether they have the
- * position that the owner last told, and the read may be as old as that is.
+ * Checks a read that this VM serves without being the owner. A replica verifies that it holds the
+ * position last reported by the owner; the read may be as old as that mark.
  */
 static enum outcome check_reader(struct owner_group *g, const ml_run_args *a, int64_t now)
 {
@@ -404,42 +429,43 @@
 
 	if (g->o->leaving)
 		return OUTCOME_LEAVING;
-	if (now - g->marks.newest.asked_us > MARK_OLD_US)
+	if (now - g->marks.newest.asked_us > MARK_MAX_AGE_US)
 		claim_ask_mark(g, now);
 	if (needs_primary(a) || !marks_need(&g->marks, now - (int64_t)a->max_age_us, &need))
 		return OUTCOME_NOT_SENT;
-	if (a->reader == READER_NEAR && reader_busy(g))
+	if (a->reader == READER_LOCAL && reader_busy(g))
 		return OUTCOME_QUEUE_FULL;
-	if (!g->reading)
+	if (!g->serves_reads)
 		log_info("reads-begin", LOG_STR("pool", g->pool),
 			 LOG_NUM("mark_age_us", now - g->marks.newest.asked_us),
 			 LOG_NUM("term", need.term), LOG_NUM("lsn", need.lsn));
-	g->reading = true;
-	g->read_us = now;
-	if (a->reader == READER_NEAR)
-		g->near_us = now;
+	g->serves_reads = true;
+	g->last_read_us = now;
+	if (a->reader == READER_LOCAL)
+		g->last_local_read_us = now;
 	return OUTCOME_DONE;
 }
 
-/** The refusal that is due at once; OUTCOME_DONE for none. */
-static enum outcome check(struct owner_group *g, const ml_run_args *a, int64_t *retry_after_us)
+/** Returns the outcome of a statement that must be refused at once, or OUTCOME_DONE. */
+static enum outcome check_admission(struct owner_group *g, const ml_run_args *a,
+				    int64_t *retry_after_us)
 {
 	int64_t now = now_us();
 	struct pos need;
 
-	if (a->reader != READER_OWNER && !og_mine(g))
+	if (a->reader != READER_OWNER && !owner_group_is_own(g))
 		return check_reader(g, a, now);
-	if (!og_mine(g) || g->o->leaving)
+	if (!owner_group_is_own(g) || g->o->leaving)
 		return OUTCOME_LEAVING;
-	if (!og_may_send(g))
+	if (!owner_group_may_send(g))
 		return OUTCOME_NO_CONNECTION;
 	if (!needs_primary(a) && marks_need(&g->marks, now - (int64_t)a->max_age_us, &need))
 		return OUTCOME_DONE;
-	*retry_after_us = og_wait_us(g, now);
+	*retry_after_us = owner_group_expected_wait_us(g, now);
 	/*
-	 * A change of primary that will surely last longer than the statement may wait: its caller
-	 * learns now when to come back. A read waits for it too when no position is known: after a
-	 * claim only a primary that is found, or made, tells one.
+	 * If the change of primary is expected to last longer than the statement may wait, its
+	 * caller is told now when to retry. A read without a known position has to wait for it too:
+	 * after a claim only a primary that was found or promoted reports one.
 	 */
 	return *retry_after_us > (int64_t)a->deadline_us ? OUTCOME_NOT_PRIMARY : OUTCOME_DONE;
 }
@@ -447,7 +473,7 @@
 void queue_run_serve(struct rpc_request *rq, const void *args, void *owner)
 {
 	const ml_run_args *a = args;
-	struct owner_group *g = og_find(owner, a->pool);
+	struct owner_group *g = owner_group_find(owner, a->pool);
 	struct fairq_outcome queued;
 	struct owner_job *job;
 	int64_t retry_us = 0;
@@ -461,7 +487,7 @@
 		run_in_tx(g, rq, a);
 		return;
 	}
-	o = check(g, a, &retry_us);
+	o = check_admission(g, a, &retry_us);
 	if (o != OUTCOME_DONE) {
 		refuse(rq, a, g, o, retry_us);
 		return;
@@ -483,7 +509,8 @@
 	struct fairq_item *item;
 
 	while ((item = fairq_expired(q, now)) != NULL)
-		job_end((struct owner_job *)item, OUTCOME_TOO_LATE, NULL, og_wait_us(g, now));
+		job_end((struct owner_job *)item, OUTCOME_TOO_LATE, NULL,
+			owner_group_expected_wait_us(g, now));
 }
 
 void queue_tick(struct owner_group *g, int64_t now)
@@ -500,7 +527,7 @@
 		if (now < job->deadline_us)
 			continue;
 		TAILQ_REMOVE(&g->held, job, link);
-		job_end(job, OUTCOME_TOO_LATE, NULL, og_wait_us(g, now));
+		job_end(job, OUTCOME_TOO_LATE, NULL, owner_group_expected_wait_us(g, now));
 	}
 	TAILQ_FOREACH_SAFE(job, &g->running, link, next)
 		job_expire(job, now);
@@ -509,9 +536,9 @@
 
 		if (tx->conn->job != NULL)
 			continue;
-		if (tx->idle_us > 0 && now - tx->used_us > tx->idle_us)
+		if (tx->idle_timeout_us > 0 && now - tx->last_used_us > tx->idle_timeout_us)
 			tx_abort(tx, "idle");
-		else if (m->conf.evacuated && change_overstays(m, now))
+		else if (m->conf.evacuated && change_exceeds_leave_time(m, now))
 			tx_abort(tx, "evacuated");
 	}
 	queue_dispatch(g);
--- a/src/owner-record.c
+++ b/src/owner-record.c
@@ -1,6 +1,7 @@
 /**
  * @file owner-record.c
- * The group's record in the store: its text, what follows when it changes, reading and writing it.
+ * The record of a group in the store: its serialisation, reading and writing it, and what follows
+ * when it changes.
  */
 #include "owner.h"
 
@@ -14,12 +15,15 @@
 #include <string.h>
 
 #define RECORD_PREFIX FLEET_STORE_PREFIX "group/"
-/** After a call about the record failed. */
+/** Pause after a read or write of the record failed. */
 #define RETRY_US (100 * USEC_PER_MSEC)
-/** How long the former owner goes first to write what the store has lost of a record. */
+/**
+ * How long other VMs leave it to the previous owner to write back what the store has lost of a
+ * record.
+ */
 #define RECOVER_PAUSE_US (500 * USEC_PER_MSEC)
 
-/* The record's text */
+/* Serialisation */
 
 static void put_vm(JsonBuilder *b, const struct lead_vm *vm)
 {
@@ -99,16 +103,16 @@
 	return ok;
 }
 
-/* Taking in a record */
+/* Changes of the record */
 
-void record_ownership_ends(struct owner_group *g, const char *why)
+void record_end_ownership(struct owner_group *g, const char *why)
 {
 	unsigned i;
 
 	log_warn("owner-ends", LOG_STR("pool", g->pool), LOG_STR("owner", g->record.owner.name),
 		 LOG_REVISION("revision", g->revision), LOG_STR("why", why));
 	g->sending = !g->yielded;
-	og_state(g, OWNER_NONE, why);
+	owner_group_set_state(g, OWNER_NONE, why);
 	queue_refuse(g, true, OUTCOME_LEAVING);
 	for (i = 0; i < g->n; i++) {
 		watch_close(&g->member[i]);
@@ -123,125 +127,125 @@
 	g->yielded = false;
 	g->sending = true;
 	g->primary = -1;
-	g->except = -1;
-	g->next_us = 0;
+	g->excluded = -1;
+	g->next_call_us = 0;
 	g->undo.possible = false;
 	succession_begin(&g->succession, now_us());
 	succession_acknowledged(&g->succession, g->marks.newest.pos, g->marks.newest.asked_us);
 	marks_clear(&g->marks);
 	for (i = 0; i < g->n; i++) {
-		g->member[i].seen_us = 0;
-		g->member[i].unheard_us = 0;
+		g->member[i].observed_us = 0;
+		g->member[i].silent_since_us = 0;
 		g->member[i].probe.next_us = 0;
 	}
 	log_info("owner", LOG_STR("pool", g->pool), LOG_REVISION("revision", g->revision),
 		 LOG_NUM("senders", g->record.n), LOG_STR("why", why));
-	og_state(g, OWNER_FINDING, why);
+	owner_group_set_state(g, OWNER_FINDING, why);
 }
 
-/** Take over @a r, but for a choice of a primary that the store has lost. */
+/** Makes @a r the known record, but keeps a choice of primary that the store has lost. */
 static void merge_record(struct owner_group *g, const struct lead_record *r, uint64_t revision)
 {
 	struct lead_record known = g->record;
-	bool before = g->recovered;
+	bool was_recovered = g->recovered;
 
 	g->record = *r;
 	g->recovered = lead_recover(&g->record, &known);
-	if (!g->recovered || before)
+	if (!g->recovered || was_recovered)
 		return;
-	g->recovered_us = now_us() + (g->state > OWNER_CLAIMING ? 0 : RECOVER_PAUSE_US);
+	g->recover_at_us = now_us() + (g->state > OWNER_CLAIMING ? 0 : RECOVER_PAUSE_US);
 	log_warn("choice-recovered", LOG_STR("pool", g->pool), LOG_STR("member", g->record.target),
 		 LOG_NUM("floor", g->record.floor), LOG_REVISION("revision", revision));
 }
 
 /**
- * The store, back from an older copy, has no record. Who owned the group claims it again, and what
- * is known of the last choice of a primary goes into the next record.
+ * Handles a missing record after the store came back from an older copy. The previous owner claims
+ * the group again, and the last known choice of primary goes into the next record.
  */
 static void record_lost(struct owner_group *g)
 {
-	bool mine = g->state > OWNER_CLAIMING;
+	bool owned = g->state > OWNER_CLAIMING;
 
 	log_warn("record-lost", LOG_STR("pool", g->pool), LOG_STR("owner", g->record.owner.name),
 		 LOG_REVISION("revision", g->revision));
-	if (mine)
-		record_ownership_ends(g, "record-lost");
-	g->invited = g->invited || mine;
+	if (owned)
+		record_end_ownership(g, "record-lost");
+	g->invited = g->invited || owned;
 	g->revision = 0;
 	g->recovered = g->record.choices > 0;
-	g->recovered_us = now_us() + (mine ? 0 : RECOVER_PAUSE_US);
+	g->recover_at_us = now_us() + (owned ? 0 : RECOVER_PAUSE_US);
 }
 
 /**
  * Whether this VM may have missed a change of primary: its lease had ended, and the store may have
- * forgotten who took the group over meanwhile.
+ * lost the record of a VM that took the group meanwhile.
  */
-static bool may_have_missed(const struct owner_group *g, uint64_t revision)
+static bool may_have_missed_change(const struct owner_group *g, uint64_t revision)
 {
 	return era_of(revision) != era_of(g->revision) && g->lapses != fleet_store_lapses();
 }
 
 /**
- * The record of another era does not name this VM as a sender, since the store has lost that it was
- * one: nobody would wait until it stops.
+ * Whether this VM may be sending although the record does not name it as a sender. The record of
+ * another era may have lost that entry, and then nobody would wait until this VM stops.
  */
 static bool is_unlisted_sender(const struct owner_group *g)
 {
 	struct lead_vm self = owner_self(g->o);
 
-	return g->sending && !og_mine(g) && !lead_has_sender(&g->record, &self);
+	return g->sending && !owner_group_is_own(g) && !lead_has_sender(&g->record, &self);
 }
 
-/** The record at @a revision is what the store has. */
-static void record_take(struct owner_group *g, const struct lead_record *r, uint64_t revision)
+/** Takes the record that the store has at @a revision, and starts or ends ownership accordingly. */
+static void record_apply(struct owner_group *g, const struct lead_record *r, uint64_t revision)
 {
-	bool mine = g->state > OWNER_CLAIMING;
+	bool owned = g->state > OWNER_CLAIMING;
 	bool new_era = era_of(revision) != era_of(g->revision);
 
 	if (revision <= g->revision)
 		return;
-	if (mine && may_have_missed(g, revision)) {
-		record_ownership_ends(g, "lease-ended-before-restore");
-		mine = false;
+	if (owned && may_have_missed_change(g, revision)) {
+		record_end_ownership(g, "lease-ended-before-restore");
+		owned = false;
 	}
 	merge_record(g, r, revision);
 	g->revision = revision;
 	g->owner_lost = false;
-	if (mine && !og_mine(g))
-		record_ownership_ends(g, "claimed-by-another");
-	else if (!mine && og_mine(g))
+	if (owned && !owner_group_is_own(g))
+		record_end_ownership(g, "claimed-by-another");
+	else if (!owned && owner_group_is_own(g))
 		ownership_begins(g, g->state == OWNER_CLAIMING ? "claimed" : "handed-over");
-	else if (!mine)
+	else if (!owned)
 		log_info("owner-known", LOG_STR("pool", g->pool), LOG_STR("owner", r->owner.name),
 			 LOG_REVISION("revision", revision));
 	if (new_era && is_unlisted_sender(g))
 		claim_stop(g, "not-listed-as-sender");
 }
 
-static void record_news(const struct store_item *item, void *owner)
+static void record_changed(const struct store_item *item, void *owner)
 {
-	struct owner_group *g = og_find(owner, item->key + strlen(RECORD_PREFIX));
+	struct owner_group *g = owner_group_find(owner, item->key + strlen(RECORD_PREFIX));
 	struct lead_record r;
 
 	if (g == NULL || item->value == NULL)
 		return;
-	g->read = true;
+	g->record_loaded = true;
 	g->outdated = false;
 	if (!record_parse(item->value, &r)) {
 		log_error("record-malformed", LOG_STR("pool", g->pool));
 		return;
 	}
-	record_take(g, &r, item->revision);
+	record_apply(g, &r, item->revision);
 }
 
 void record_listen(struct owner *o)
 {
-	fleet_store_listen(fleet_of(o->service.kernel), RECORD_PREFIX, record_news, o);
+	fleet_store_listen(fleet_of(o->service.kernel), RECORD_PREFIX, record_changed, o);
 }
 
 /* Reading and writing */
 
-struct call {
+struct record_call {
 	struct owner *o;
 	char pool[NAME_SIZE];
 	struct lead_record record;
@@ -249,33 +253,35 @@
 	record_written cb;
 };
 
-static struct call *call_create(struct owner_group *g)
+static struct record_call *call_create(struct owner_group *g)
 {
-	struct call *q = g_new0(struct call, 1);
+	struct record_call *q = g_new0(struct record_call, 1);
 
 	q->o = g->o;
 	g_strlcpy(q->pool, g->pool, sizeof(q->pool));
-	g->busy = true;
+	g->record_busy = true;
 	return q;
 }
 
-static void call_free(struct call *q)
+static void call_free(struct record_call *q)
 {
 	g_free(q->text);
 	g_free(q);
 }
 
-/** What the store has of the record was read, or written, under this VM's present listing. */
+/**
+ * Notes that the record was read or written under the current registration and lease of this VM.
+ */
 static void record_confirmed(struct owner_group *g)
 {
-	g->registration = fleet_store_registration(og_fleet(g));
+	g->registration = fleet_store_registration(owner_group_fleet(g));
 	g->lapses = fleet_store_lapses();
 }
 
 static void read_answered(const struct store_answer *a, void *arg)
 {
-	struct call *q = arg;
-	struct owner_group *g = og_find(q->o, q->pool);
+	struct record_call *q = arg;
+	struct owner_group *g = owner_group_find(q->o, q->pool);
 	struct lead_record r;
 	bool ok = false;
 
@@ -283,21 +289,24 @@
 		call_free(q);
 		return;
 	}
-	g->busy = false;
+	g->record_busy = false;
 	if (a->status != STORE_DONE && a->status != STORE_NO_LEASE) {
-		g->next_us = now_us() + RETRY_US;
+		g->next_call_us = now_us() + RETRY_US;
 		claim_store_failed(g);
 	} else {
 		const struct store_item *item =
 			a->items->len > 0 ? g_ptr_array_index(a->items, 0) : NULL;
 
-		g->read = true;
+		g->record_loaded = true;
 		g->outdated = false;
 		g->store_failed_us = 0;
 		if (item != NULL && item->value != NULL && record_parse(item->value, &r)) {
 			ok = q->text != NULL && strcmp(item->value, q->text) == 0;
-			record_take(g, &r, item->revision);
-			/* The store still has this VM as the owner, so nobody has fenced it. */
+			record_apply(g, &r, item->revision);
+			/*
+			 * The record in the store still names this VM, so no other VM has fenced
+			 * it.
+			 */
 			if (item->revision == g->revision)
 				record_confirmed(g);
 		} else if (item == NULL && !fleet_store_is_current(g->revision)) {
@@ -309,28 +318,28 @@
 	call_free(q);
 }
 
-static void read_again(struct owner_group *g, struct call *q)
+static void record_fetch(struct owner_group *g, struct record_call *q)
 {
 	char *key = g_strconcat(RECORD_PREFIX, g->pool, NULL);
-	struct store *s = fleet_store(og_fleet(g));
+	struct store *s = fleet_store(owner_group_fleet(g));
 
-	g->busy = true;
+	g->record_busy = true;
 	s->ops->get(s, key, read_answered, q);
 	g_free(key);
 }
 
 static void write_answered(const struct store_answer *a, void *arg)
 {
-	struct call *q = arg;
-	struct owner_group *g = og_find(q->o, q->pool);
+	struct record_call *q = arg;
+	struct owner_group *g = owner_group_find(q->o, q->pool);
 
 	if (g == NULL) {
 		call_free(q);
 		return;
 	}
-	g->busy = false;
+	g->record_busy = false;
 	if (a->status == STORE_DONE) {
-		record_take(g, &q->record, a->revision);
+		record_apply(g, &q->record, a->revision);
 		if (fleet_store_is_current(a->revision))
 			record_confirmed(g);
 		q->cb(g, true);
@@ -340,31 +349,31 @@
 	log_info("record-write-failed", LOG_STR("pool", q->pool), LOG_NUM("status", a->status),
 		 LOG_REVISION("revision", g->revision));
 	if (a->status == STORE_REFUSED || a->status == STORE_NO_LEASE) {
-		g->next_us = now_us() + RETRY_US;
+		g->next_call_us = now_us() + RETRY_US;
 		claim_store_failed(g);
 		q->cb(g, false);
 		call_free(q);
 		return;
 	}
-	/* Another was first, or the answer was lost: what the store has now tells which. */
-	read_again(g, q);
+	/* Another VM wrote first, or the answer was lost. The current record tells which. */
+	record_fetch(g, q);
 }
 
 void record_outdated(struct owner_group *g)
 {
-	g->read = false;
+	g->record_loaded = false;
 	g->outdated = true;
 }
 
 void record_read(struct owner_group *g)
 {
-	read_again(g, call_create(g));
+	record_fetch(g, call_create(g));
 }
 
 void record_write(struct owner_group *g, const struct lead_record *r, record_written cb)
 {
-	struct store *s = fleet_store(og_fleet(g));
-	struct call *q = call_create(g);
+	struct store *s = fleet_store(owner_group_fleet(g));
+	struct record_call *q = call_create(g);
 	char *key = g_strconcat(RECORD_PREFIX, g->pool, NULL);
 	struct store_guard guard = {.key = key, .revision = g->revision};
 	struct store_write write = {.key = key};
@@ -374,7 +383,7 @@
 	q->cb = cb;
 	write.value = q->text;
 	if (!fleet_store_is_current(g->revision))
-		read_again(g, q);
+		record_fetch(g, q);
 	else
 		s->ops->commit(s, &guard, 1, &write, 1, write_answered, q);
 	g_free(key);
--- a/src/owner.c
+++ b/src/owner.c
@@ -1,4 +1,4 @@
-/** @file owner.c The owner's groups. */
+/** @file owner.c Groups, configuration and the owner service. */
 #include "owner.h"
 
 #include "fleet-store.h"
@@ -6,34 +6,39 @@
 
 #include <string.h>
 
-/** Looks at what waits, what is late and what is to be done next. */
+/** Interval of the timer that drives all groups. */
 #define TICK_US (20 * USEC_PER_MSEC)
 /**
- * Left of the lease when this VM stops to send: clocks of two VMs drift by far less in a lease's
- * length, and an answer that is checked now leaves the VM within this.
+ * Remaining time of the lease at which this VM stops sending. Clocks of two VMs drift by far less
+ * during a lease, and an answer checked now leaves the VM within this time.
  */
 #define LEASE_MARGIN_US (100 * USEC_PER_MSEC)
-/** A change of primary from the order to the first statement, as the users' databases take it. */
+/** Expected time of a promotion from the order to the first statement. */
 #define PROMOTE_US (1100 * USEC_PER_MSEC)
-/** Finding the primary takes this long when it is reached. */
+/** Expected time to find the primary if it is reachable. */
 #define FIND_SOON_US (300 * USEC_PER_MSEC)
 /**
- * A statement that no owner took tells nothing after this: the next ones have to try. Otherwise a
- * VM whose statements all wait for tokens refuses them for good after one failure.
+ * How long a statement that no owner accepted is held against later ones. Without this limit, a VM
+ * whose statements all wait for tokens would refuse them for good after one failure.
  */
-#define UNTAKEN_FRESH_US (1 * USEC_PER_SEC)
+#define NOT_ACCEPTED_FRESH_US (1 * USEC_PER_SEC)
 /**
- * A primary from which nothing came for so long, though statements are out on all its slots, gets
- * no new ones: most likely it is gone, and they would be held until their time is over.
+ * A primary that leaves requests unanswered for this long is most likely gone. Statements are told
+ * to retry later, since they would otherwise wait until their deadline.
  */
-#define SILENT_US (300 * USEC_PER_MSEC)
-/** How long a VM that does not own the group keeps connections that it opened for reads. */
+#define PRIMARY_SILENT_US (300 * USEC_PER_MSEC)
+/** How long a VM that is not the owner keeps connections that it opened for reads. */
 #define READING_KEEP_US (10 * USEC_PER_SEC)
-/** How long it sends nothing to a replica that fell silent, since nothing else looks at it. */
+/**
+ * How long a VM that is not the owner sends nothing to a replica that stopped answering, since it
+ * does not probe members.
+ */
 #define READING_DOWN_US (1 * USEC_PER_SEC)
-/** Statements that a cold member may get at once. */
+/** Most statements that a cold member may get at once. */
 #define COLD_BURST 1
-/** Open transactions may go on for so long after this VM began to leave, as half of its grace. */
+/**
+ * How long open transactions may continue after this VM began to leave: half of its grace period.
+ */
 #define LEAVE_TX_US (3 * USEC_PER_SEC)
 
 static const char *const state_names[OWNER_STATES] = {
@@ -54,39 +59,39 @@
 	return vm;
 }
 
-struct fleet *og_fleet(const struct owner_group *g)
+struct fleet *owner_group_fleet(const struct owner_group *g)
 {
 	return fleet_of(g->o->service.kernel);
 }
 
-struct owner_group *og_find(struct owner *o, const char *pool)
+struct owner_group *owner_group_find(struct owner *o, const char *pool)
 {
 	return g_hash_table_lookup(o->by_pool, pool);
 }
 
-bool og_mine(const struct owner_group *g)
+bool owner_group_is_own(const struct owner_group *g)
 {
 	const struct kernel *k = g->o->service.kernel;
 
-	return g->revision != 0 && g->superseded <= g->revision &&
+	return g->revision != 0 && g->newer_revision <= g->revision &&
 	       g->record.owner.incarnation == k->incarnation &&
 	       strcmp(g->record.owner.name, k->settings->name) == 0;
 }
 
-bool og_may_send(const struct owner_group *g)
+bool owner_group_may_send(const struct owner_group *g)
 {
-	struct fleet *f = og_fleet(g);
+	struct fleet *f = owner_group_fleet(g);
 
 	return g->sending && !g->yielded &&
 	       now_us() < fleet_store_trusted_until_us(f, g->registration) - LEASE_MARGIN_US;
 }
 
-struct owner_member *og_primary(struct owner_group *g)
+struct owner_member *owner_group_primary(struct owner_group *g)
 {
 	return g->primary >= 0 ? &g->member[g->primary] : NULL;
 }
 
-bool og_has_member(const struct owner_group *g, const char *data_center)
+bool owner_group_has_member(const struct owner_group *g, const char *data_center)
 {
 	unsigned i;
 
@@ -100,7 +105,7 @@
 	return false;
 }
 
-void og_state(struct owner_group *g, enum owner_state state, const char *why)
+void owner_group_set_state(struct owner_group *g, enum owner_state state, const char *why)
 {
 	if (state == g->state)
 		return;
@@ -112,27 +117,28 @@
 	g->state_us = now_us();
 }
 
-int64_t og_wait_us(const struct owner_group *g, int64_t now)
+int64_t owner_group_expected_wait_us(const struct owner_group *g, int64_t now)
 {
-	int64_t gone = now - g->state_us;
+	int64_t elapsed_us = now - g->state_us;
 	const struct owner_member *m;
 
 	switch (g->state) {
 	case OWNER_SERVING:
 		m = g->primary >= 0 ? &g->member[g->primary] : NULL;
-		/* What is sent to it now would most likely wait in vain. */
-		return m != NULL && m->unheard_us != 0 && now - m->unheard_us > SILENT_US
+		/* A statement sent to it now would most likely get no answer. */
+		return m != NULL && m->silent_since_us != 0 &&
+				       now - m->silent_since_us > PRIMARY_SILENT_US
 			       ? PROMOTE_US
 			       : 0;
 	case OWNER_NONE:
 		return 0;
 	case OWNER_AWAITING:
 	case OWNER_ORDERING:
-		return gone < PROMOTE_US ? PROMOTE_US - gone : 50 * USEC_PER_MSEC;
+		return elapsed_us < PROMOTE_US ? PROMOTE_US - elapsed_us : 50 * USEC_PER_MSEC;
 	case OWNER_CLAIMING:
 	case OWNER_FINDING:
-		/* Found in 40 ms when it is reached at all; after that nobody knows. */
-		return gone < FIND_SOON_US ? 50 * USEC_PER_MSEC : PROMOTE_US;
+		/* A reachable primary is found in 40 ms; after that no estimate is possible. */
+		return elapsed_us < FIND_SOON_US ? 50 * USEC_PER_MSEC : PROMOTE_US;
 	default:
 		return PROMOTE_US + 50 * USEC_PER_MSEC;
 	}
@@ -151,8 +157,11 @@
 	return NULL;
 }
 
-/** A place for a new member: that of one which is gone, else the next. */
-static struct owner_member *member_place(struct owner_group *g)
+/**
+ * Returns a slot for a new member: one of a member that is gone, or the next unused one; NULL if
+ * there is none.
+ */
+static struct owner_member *member_slot(struct owner_group *g)
 {
 	struct owner_member *m;
 	unsigned i;
@@ -182,7 +191,7 @@
 	struct owner_member *m = member_find(g, conf->name);
 
 	if (m == NULL)
-		m = member_place(g);
+		m = member_slot(g);
 	if (m == NULL) {
 		log_warn("member-left-out", LOG_STR("pool", g->pool),
 			 LOG_STR("member", conf->name));
@@ -199,13 +208,13 @@
 		conn_close_idle(m);
 	}
 	if (conf->cold && (!m->conf.cold || conf->cold_per_s != m->conf.cold_per_s))
-		bucket_init(&m->cold, conf->cold_per_s, COLD_BURST, 0, now_us());
+		bucket_init(&m->cold_bucket, conf->cold_per_s, COLD_BURST, 0, now_us());
 	m->conf = *conf;
 	m->unlisted_us = 0;
 	m->listed = true;
 }
 
-static void og_configure(struct owner_group *g, const struct conf_pool *pool)
+static void owner_group_configure(struct owner_group *g, const struct conf_pool *pool)
 {
 	unsigned i;
 
@@ -228,14 +237,14 @@
 	g->configured = pool != NULL;
 }
 
-static struct owner_group *og_create(struct owner *o, const char *pool)
+static struct owner_group *owner_group_create(struct owner *o, const char *pool)
 {
 	struct owner_group *g = g_new0(struct owner_group, 1);
 
 	g->o = o;
 	g_strlcpy(g->pool, pool, sizeof(g->pool));
 	g->primary = -1;
-	g->except = -1;
+	g->excluded = -1;
 	g->state_us = now_us();
 	TAILQ_INIT(&g->txs);
 	queue_init(g);
@@ -258,18 +267,18 @@
 	o->conf_version = version;
 	g_hash_table_iter_init(&iter, conf->pools);
 	while (g_hash_table_iter_next(&iter, &name, NULL)) {
-		if (og_find(o, name) == NULL)
-			og_create(o, name);
+		if (owner_group_find(o, name) == NULL)
+			owner_group_create(o, name);
 	}
 	TAILQ_FOREACH(g, &o->groups, link)
-		og_configure(g, conf_pool(conf, g->pool));
+		owner_group_configure(g, conf_pool(conf, g->pool));
 }
 
-/* Who owns it */
+/* Ownership as known to this VM */
 
 const char *owner_address(struct owner *o, const char *pool, bool *known)
 {
-	struct owner_group *g = og_find(o, pool);
+	struct owner_group *g = owner_group_find(o, pool);
 	char role[NAME_SIZE + 8];
 
 	*known = g != NULL && !g->owner_lost && (g->revision != 0 || g->hint_revision != 0);
@@ -281,75 +290,79 @@
 
 uint64_t owner_known_revision(struct owner *o, const char *pool)
 {
-	const struct owner_group *g = og_find(o, pool);
+	const struct owner_group *g = owner_group_find(o, pool);
 
 	return g != NULL ? MAX(g->revision, g->hint_revision) : 0;
 }
 
-static bool untaken_lately(const struct owner_group *g, int64_t now)
+static bool recently_not_accepted(const struct owner_group *g, int64_t now)
 {
-	return g->untaken_us != 0 && now - g->untaken_last_us <= UNTAKEN_FRESH_US;
+	return g->not_accepted_since_us != 0 &&
+	       now - g->last_not_accepted_us <= NOT_ACCEPTED_FRESH_US;
 }
 
-int64_t owner_took(struct owner *o, const char *pool, bool took)
+int64_t owner_note_accepted(struct owner *o, const char *pool, bool accepted)
 {
-	struct owner_group *g = og_find(o, pool);
+	struct owner_group *g = owner_group_find(o, pool);
 	int64_t now = now_us();
 
 	if (g == NULL)
 		return 0;
-	if (took) {
-		g->untaken_us = 0;
+	if (accepted) {
+		g->not_accepted_since_us = 0;
 		return 0;
 	}
-	if (!untaken_lately(g, now))
-		g->untaken_us = now;
-	g->untaken_last_us = now;
-	return now - g->untaken_us;
+	if (!recently_not_accepted(g, now))
+		g->not_accepted_since_us = now;
+	g->last_not_accepted_us = now;
+	return now - g->not_accepted_since_us;
 }
 
-int64_t owner_untaken_us(struct owner *o, const char *pool)
+int64_t owner_not_accepting_us(struct owner *o, const char *pool)
 {
-	const struct owner_group *g = og_find(o, pool);
+	const struct owner_group *g = owner_group_find(o, pool);
 	int64_t now = now_us();
 
-	return g != NULL && untaken_lately(g, now) ? now - g->untaken_us : 0;
+	return g != NULL && recently_not_accepted(g, now) ? now - g->not_accepted_since_us : 0;
 }
 
-void owner_told_mark(struct owner *o, const char *pool, struct pos pos, int64_t asked_us)
+void owner_update_mark(struct owner *o, const char *pool, struct pos pos, int64_t asked_us)
 {
-	struct owner_group *g = og_find(o, pool);
+	struct owner_group *g = owner_group_find(o, pool);
 
 	if (g == NULL || g->state > OWNER_CLAIMING || pos.term == 0)
 		return;
-	/* Another primary leads: what its promotion discarded is owed to nobody. */
+	/* Under a new primary, writes that its promotion discarded are no longer required. */
 	if (pos.term > g->marks.newest.pos.term)
 		marks_new_term(&g->marks, pos, asked_us);
 	else
 		marks_add(&g->marks, pos, asked_us);
 }
 
-/** Whether the group's owner is in this VM's data centre, found anew when its address changes. */
-static bool owner_is_near(struct owner_group *g, const char *address)
+/**
+ * Whether the owner is in the data centre of this VM. The result is cached until the owner's
+ * address changes.
+ */
+static bool owner_is_local(struct owner_group *g, const char *address)
 {
-	const struct fleet *f = og_fleet(g);
+	const struct fleet *f = owner_group_fleet(g);
 	const struct vm *vm;
 
-	if (strcmp(g->owner_at, address) == 0)
-		return g->owner_near;
-	g->owner_near = false;
+	if (strcmp(g->owner_local_address, address) == 0)
+		return g->owner_local;
+	g->owner_local = false;
 	TAILQ_FOREACH(vm, &f->peers.vms, link) {
 		if (strcmp(vm->address, address) != 0)
 			continue;
-		g_strlcpy(g->owner_at, address, sizeof(g->owner_at));
-		g->owner_near = strcmp(vm->data_center, f->peers.self->data_center) == 0;
+		g_strlcpy(g->owner_local_address, address, sizeof(g->owner_local_address));
+		g->owner_local = strcmp(vm->data_center, f->peers.self->data_center) == 0;
 	}
-	return g->owner_near;
+	return g->owner_local;
 }
 
-const char *owner_near_reader(struct owner *o, const char *pool)
+const char *owner_local_reader(struct owner *o, const char *pool)
 {
-	struct owner_group *g = og_find(o, pool);
+	struct owner_group *g = owner_group_find(o, pool);
 	char role[NAME_SIZE + 8];
 	const char *address;
 	bool known;
@@ -357,35 +370,35 @@
 	if (g == NULL)
 		return NULL;
 	address = owner_address(o, pool, &known);
-	if (!known || owner_is_near(g, address))
+	if (!known || owner_is_local(g, address))
 		return NULL;
 	g_snprintf(role, sizeof(role), "read %s", pool);
-	return fleet_near_address(og_fleet(g), role);
+	return fleet_near_address(owner_group_fleet(g), role);
 }
 
 bool owner_can_read(struct owner *o, const char *pool, int64_t max_age_us)
 {
-	struct owner_group *g = og_find(o, pool);
+	struct owner_group *g = owner_group_find(o, pool);
 	struct pos need;
 
 	return g != NULL && g->configured && g->state <= OWNER_CLAIMING &&
 	       marks_need(&g->marks, now_us() - max_age_us, &need);
 }
 
-void owner_heard(struct owner *o, const char *pool, const char *vm, const char *address,
-		 uint64_t revision)
+void owner_note_newer_record(struct owner *o, const char *pool, const char *vm, const char *address,
+			     uint64_t revision)
 {
-	struct owner_group *g = og_find(o, pool);
+	struct owner_group *g = owner_group_find(o, pool);
 
 	if (g == NULL || revision <= g->revision || address[0] == '\0')
 		return;
 	/*
-	 * Only who owns it is told between VMs, not the whole record. A VM that owned it until now
-	 * reads the record itself; the others need no more than the address.
+	 * VMs announce only the owner to each other, not the whole record. A VM that owned the
+	 * group until now reads the record; others need no more than the address.
 	 */
-	if (og_mine(g) || g->state > OWNER_CLAIMING) {
+	if (owner_group_is_own(g) || g->state > OWNER_CLAIMING) {
 		record_outdated(g);
-		g->superseded = revision;
+		g->newer_revision = revision;
 		claim_superseded(g);
 	}
 	if (revision > g->hint_revision) {
@@ -393,7 +406,7 @@
 		g_strlcpy(g->hint_address, address, sizeof(g->hint_address));
 		g->owner_lost = false;
 	}
-	/* It was handed to this VM: the record tells the rest. */
+	/* The group was handed to this VM, so the record must be read. */
 	if (strcmp(vm, o->service.kernel->settings->name) == 0)
 		record_outdated(g);
 }
@@ -401,8 +414,8 @@
 /* The service */
 
 /**
- * Silent replicas get no reads for a while. Connections for reads that this VM serves without
- * owning the group are closed when none has come for some time.
+ * Drives reads that this VM serves without owning the group: replicas that do not answer get no
+ * reads for READING_DOWN_US, and connections are closed after READING_KEEP_US without a read.
  */
 static void reading_tick(struct owner_group *g, int64_t now)
 {
@@ -415,13 +428,13 @@
 		watch_judge_replica(m, now);
 		if (m->down && now - m->down_us > READING_DOWN_US) {
 			m->down = false;
-			m->unheard_us = 0;
+			m->silent_since_us = 0;
 		}
 	}
 
-	if (g->jobs > 0 || !TAILQ_EMPTY(&g->txs) || now - g->read_us < READING_KEEP_US)
+	if (g->n_jobs > 0 || !TAILQ_EMPTY(&g->txs) || now - g->last_read_us < READING_KEEP_US)
 		return;
-	g->reading = false;
+	g->serves_reads = false;
 	log_info("reads-end", LOG_STR("pool", g->pool));
 	for (i = 0; i < g->n; i++)
 		conn_close_idle(&g->member[i]);
@@ -435,15 +448,15 @@
 
 	TAILQ_FOREACH(g, &o->groups, link) {
 		claim_tick(g, now);
-		if (g->state <= OWNER_CLAIMING && !g->sending && !g->reading)
+		if (g->state <= OWNER_CLAIMING && !g->sending && !g->serves_reads)
 			continue;
 		if (g->state > OWNER_CLAIMING) {
 			watch_tick(g, now);
 			change_tick(g, now);
-			claim_move_near(g, now);
+			claim_move_to_primary(g, now);
 		}
 		queue_tick(g, now);
-		if (g->reading && g->state <= OWNER_CLAIMING)
+		if (g->serves_reads && g->state <= OWNER_CLAIMING)
 			reading_tick(g, now);
 		if (g->sending && g->state <= OWNER_CLAIMING && TAILQ_EMPTY(&g->txs) &&
 		    TAILQ_EMPTY(&g->running))
@@ -458,7 +471,7 @@
 	struct owner_group *g;
 
 	TAILQ_FOREACH(g, &o->groups, link) {
-		/* One that is not configured any more is not read, nor owned. */
+		/* A group that is no longer configured is neither read nor owned. */
 		if (g->configured && (!fleet_store_is_current(g->revision) || g->recovered))
 			return false;
 		if (g->sending && g->registration != registration)
@@ -484,7 +497,7 @@
 	return TRUE;
 }
 
-/** Groups go to other VMs at once; open transactions have until LEAVE_TX_US. */
+/** Hands all groups to other VMs. Open transactions have LEAVE_TX_US to finish. */
 static void owner_drain(struct service *s)
 {
 	struct owner *o = (struct owner *)s;
@@ -492,12 +505,12 @@
 	struct owner_group *g;
 
 	o->leaving = true;
-	o->left_us = now_us();
+	o->leave_started_us = now_us();
 	TAILQ_FOREACH(g, &o->groups, link) {
 		char role[NAME_SIZE + 8];
 		struct vm *vm;
 
-		if (!og_mine(g))
+		if (!owner_group_is_own(g))
 			continue;
 		g_snprintf(role, sizeof(role), "group %s", g->pool);
 		vm = peers_next_holder(&f->peers, role);
@@ -515,18 +528,18 @@
 	TAILQ_FOREACH(g, &o->groups, link) {
 		struct owner_tx *tx, *next;
 
-		if (now - o->left_us > LEAVE_TX_US) {
+		if (now - o->leave_started_us > LEAVE_TX_US) {
 			TAILQ_FOREACH_SAFE(tx, &g->txs, link, next) {
 				if (tx->conn->job == NULL)
 					tx_abort(tx, "leaving");
 			}
 		}
-		if (g->jobs > 0 || !TAILQ_EMPTY(&g->txs) || g->busy)
+		if (g->n_jobs > 0 || !TAILQ_EMPTY(&g->txs) || g->record_busy)
 			return false;
 	}
 	/*
-	 * A lease that only runs out would hold up the next change of primary until then, since
-	 * this VM could still be sending for all that others know.
+	 * The lease is released. If it only expired, the next change of primary would have to wait
+	 * for that, since this VM could still be sending as far as others know.
 	 */
 	return fleet_store_release(fleet_of(s->kernel));
 }
--- a/src/owner.h
+++ b/src/owner.h
@@ -1,21 +1,29 @@
 /**
  * @file owner.h
- * The owner of a database group: the one VM that holds the connections to the group's members, runs
- * callers' statements on them and sees to it that the group has a primary. For groups whose members
- * are led from outside (member.h); decide/lead.h says who may own one and when its primary may be
- * changed.
+ * Owner of a database group: the one VM that holds the connections to the members of the group,
+ * runs callers' statements on them and manages the primary of the group (failure detection,
+ * failover, planned change). Serves groups that have no consensus of their own and are led from
+ * outside (see member.h). decide/lead.h has the rules for who may own a group and when its primary
+ * may be replaced.
  *
- * owner.c        groups, and the RPC procedures
- * owner-record.c the group's record in the store
- * owner-claim.c  who owns it: claiming, handing over, yielding
- * owner-change.c the change of primary, step by step
- * owner-choose.c the choice of the next primary
- * owner-fence.c  making sure that nobody else sends to the primary
- * owner-watch.c  looking at the members
- * owner-queue.c  statements that wait, and the member for each
- * owner-job.c    one statement, step by step
- * owner-command.c what a connection lacks before a statement
- * owner-conn.c   connections, callers' transactions on them
+ * Terms: a pool is a database group as configured; a member is one database server of it. The entry
+ * is the daemon a caller is connected to; it forwards statements to the owner by RPC. The record is
+ * the key of the group in the store: it names the owner, the VMs that may still send to the primary
+ * ("senders"), and the last chosen primary. An era counts how often the store came back from an
+ * older copy. A mark is a log position known to include all writes acknowledged before a given
+ * time.
+ *
+ * owner.c         groups, configuration, service entry points
+ * owner-record.c  the record: serialisation, reading, writing, taking effect
+ * owner-claim.c   claiming, handing over and yielding a group
+ * owner-change.c  state machine of a change of primary
+ * owner-choose.c  choice of the next primary
+ * owner-fence.c   fencing of other senders to the primary
+ * owner-watch.c   probes of the members and failure detection
+ * owner-queue.c   queues of statements and choice of the member for each
+ * owner-job.c     execution of one statement
+ * owner-command.c session values and prepared statements sent before a statement
+ * owner-conn.c    connections to members and transactions on them
  */
 #ifndef OWNER_H
 #define OWNER_H
@@ -39,88 +47,89 @@
 struct owner_job;
 struct owner_tx;
 
-/** By whom a read may be served that its group's owner does not serve. */
+/** Which VMs may serve a read. */
 enum owner_reader {
-	READER_OWNER, /**< only by the owner */
-	READER_NEAR,  /**< by a VM of the caller's data centre, at a replica that is there too */
-	READER_ANY,   /**< by the entry VM, at any replica in reach: the owner is not */
+	READER_OWNER, /**< the owner only */
+	READER_LOCAL, /**< the reader VM of the caller's data centre, from a replica there if it has
+			 one */
+	READER_ANY, /**< the entry VM, from any reachable replica, while the owner is unreachable */
 };
 
-/** Classes of urgency; a route's priority beyond the last counts as the last. */
+/** Number of priority classes. A route with a higher priority number is in the last class. */
 #define OWNER_PRIORITIES 4
-/** A prepared statement's name on a connection: 'r' or 'w', '_', and its shape. */
+/** Size of a prepared statement's name: 'r' or 'w', '_', and the shape of the statement. */
 #define OWNER_NAME_MAX 256
 
-/** A connection that serves statements; it is one team's until it is closed. */
+/** A connection to a member that runs statements. It belongs to one team until it is closed. */
 struct owner_conn {
 	TAILQ_ENTRY(owner_conn) link;
 	struct owner_member *m;
 	struct member_conn *mc;
 	char team[NAME_SIZE];
 	bool open;
-	bool values_unsure;    /**< a rollback may have taken values back: reset before use */
-	GHashTable *values;    /**< session values that hold on it: name to value */
-	GHashTable *prepared;  /**< names that are prepared on it */
-	struct owner_job *job; /**< the statement on it, or that waits for it to open */
-	struct owner_tx *tx;   /**< the transaction that it is kept for */
-	bool abandoned;	       /**< a statement is out on it that nobody waits for any more */
-	int64_t since_us;      /**< when its state last changed */
-	int64_t sent_us;       /**< when what is out on it was sent */
+	bool values_uncertain;	/**< reset before use: a rollback may have changed values */
+	GHashTable *values;	/**< session values set on the connection: name to value */
+	GHashTable *prepared;	/**< names of the statements prepared on the connection */
+	struct owner_job *job;	/**< statement that runs on it or waits for it to open */
+	struct owner_tx *tx;	/**< open transaction it is reserved for, or NULL */
+	bool abandoned;		/**< runs a statement whose caller was already answered */
+	int64_t state_since_us; /**< time of its last change of state */
+	int64_t sent_us;	/**< time the last commands were sent */
 };
 TAILQ_HEAD(owner_conns, owner_conn);
 
-/** A caller's open transaction. */
+/** An open transaction of a caller. */
 struct owner_tx {
 	TAILQ_ENTRY(owner_tx) link;
 	uint64_t id;
 	struct owner_conn *conn;
-	uint64_t rpc_conn; /**< the entry VM's connection; the transaction ends with it */
+	uint64_t rpc_conn; /**< RPC connection of the entry; its end aborts the transaction */
 	bool read_only;
 	bool on_primary;
-	uint64_t term; /**< of the primary that it is on */
+	uint64_t term; /**< term of the primary at the start of the transaction */
 	bool wrote;
 	bool failed;
-	int64_t used_us;
-	int64_t idle_us; /**< how long it may rest */
+	int64_t last_used_us;
+	int64_t idle_timeout_us; /**< longest time between two statements; 0: no limit */
 };
 TAILQ_HEAD(owner_txs, owner_tx);
 
 enum owner_step {
 	OWNER_QUEUED,
-	OWNER_OPENING, /**< waits for its connection */
+	OWNER_OPENING, /**< the connection is being opened */
 	OWNER_BEGIN,
 	OWNER_STATEMENT,
 };
 
-/** One statement that an entry VM asked for. */
+/** One statement received from an entry. */
 struct owner_job {
 	struct fairq_item item;
-	TAILQ_ENTRY(owner_job) link; /**< in held or running */
+	TAILQ_ENTRY(owner_job) link; /**< in the list held or running of the group */
 	struct owner_group *g;
 	struct rpc_request *rq;
-	const ml_run_args *args; /**< of @a rq */
+	const ml_run_args *args; /**< arguments of @a rq */
 	struct owner_conn *conn;
 	struct owner_tx *tx;
 	enum owner_step step;
 	bool needs_primary;
-	bool on_primary; /**< it was sent to what was the primary then */
-	bool slotted;	 /**< counted in its member's statements */
+	bool on_primary; /**< sent to the member that was the primary at that time */
+	bool holds_slot; /**< counted in in_flight of its member */
 	unsigned tries;
-	uint8_t tried; /**< bit per member that could not serve it */
+	uint8_t tried_members; /**< bit per member: could not serve the statement */
 	int64_t received_us;
 	int64_t deadline_us;
 	int64_t sent_us;
-	int64_t not_before_us; /**< a member was busy: not tried again before */
-	uint64_t term;	       /**< of the primary that it was sent to */
-	struct pos need;       /**< position that was asked for */
+	int64_t not_before_us; /**< not retried before this time, since a member was busy */
+	uint64_t term;	       /**< term of the primary when the statement was sent */
+	struct pos need;       /**< log position requested from the replica */
 };
 TAILQ_HEAD(owner_jobs, owner_job);
 
-/** The connection over which a member is looked at. */
+/** Connection used to probe a member. */
 struct owner_probe {
 	struct member_conn *mc;
 	bool open;
-	bool out; /**< something is asked and not answered */
+	bool pending; /**< a request is in flight */
 	int64_t sent_us;
 	int64_t next_us;
 };
@@ -129,44 +138,44 @@
 	struct owner_group *g;
 	unsigned index;
 	struct conf_member conf;
-	bool listed;	      /**< in the configuration */
-	int64_t unlisted_us;  /**< since when it is not */
-	int64_t leaving_us;   /**< since when it is known here that it leaves */
-	int64_t evacuated_us; /**< since when it is known here that its data centre is evacuated */
-	struct bucket cold;   /**< statements that it takes while it is cold */
+	bool listed;	      /**< present in the configuration */
+	int64_t unlisted_us;  /**< when it left the configuration; 0: present */
+	int64_t leaving_us;   /**< when this VM learned that it is leaving */
+	int64_t evacuated_us; /**< when this VM learned that its data centre is being evacuated */
+	struct bucket cold_bucket; /**< limits statements while the member is cold */
 	struct owner_conns conns;
 	unsigned n_conns;
 	unsigned n_open;
 	struct keep_use use;
-	unsigned out; /**< statements in its slots */
+	unsigned in_flight; /**< statements that hold a slot of the member */
 	int64_t open_after_us;
-	unsigned full_limit; /**< connections that it accepted when it refused one as too many */
-	int64_t full_us;     /**< when it did so; 0: never */
+	unsigned full_limit; /**< connections open when it last refused one with MEMBER_FULL */
+	int64_t full_us;     /**< time of the last MEMBER_FULL refusal; 0: never */
 	int64_t full_until_us;
-	struct pos pos; /**< newest that it told */
-	int64_t pos_us;
-	int64_t heard_us;
-	int64_t unheard_us; /**< since when something is sent and nothing was answered; 0: none */
-	bool refused;	    /**< it refuses connections since it was last heard */
-	bool down;	    /**< silent: gets nothing but looks */
-	int64_t down_us;    /**< since when */
-	double service_us;  /**< moving average of a statement's time */
+	struct pos pos; /**< last log position it reported */
+	int64_t pos_updated_us;
+	int64_t last_answer_us;
+	int64_t silent_since_us; /**< first request since the last answer; 0: none */
+	bool refused;		 /**< refuses connections; cleared by its next answer */
+	bool down;		 /**< does not answer: receives probes only */
+	int64_t down_us;	 /**< when it was marked down */
+	double service_us;	 /**< moving average of the duration of a statement */
 	struct owner_probe probe;
-	struct lead_candidate seen;
-	int64_t seen_us; /**< when @a seen was asked for */
+	struct lead_candidate observed;
+	int64_t observed_us; /**< when the request behind @a observed was sent */
 };
 
 enum owner_state {
-	OWNER_NONE,	/**< not this VM's */
-	OWNER_CLAIMING, /**< the claim is under way */
-	OWNER_FINDING,	/**< looks for the primary */
+	OWNER_NONE,	/**< the group is not owned by this VM */
+	OWNER_CLAIMING, /**< the claim is being written to the record */
+	OWNER_FINDING,	/**< looking for the current primary */
 	OWNER_SERVING,
-	OWNER_SETTLING,	 /**< a change of primary: what is open on the old one ends */
-	OWNER_FENCING,	 /**< until nobody else may be sending */
-	OWNER_CHOOSING,	 /**< looks for the newest replica */
-	OWNER_RECORDING, /**< writes the choice to the record */
-	OWNER_ORDERING,	 /**< the promotion is ordered */
-	OWNER_AWAITING,	 /**< until the chosen member leads */
+	OWNER_SETTLING,	 /**< planned change: transactions on the old primary may finish */
+	OWNER_FENCING,	 /**< waiting until no other VM can send to the primary */
+	OWNER_CHOOSING,	 /**< choosing the replica with the newest log */
+	OWNER_RECORDING, /**< writing the choice to the record */
+	OWNER_ORDERING,	 /**< ordering the promotion */
+	OWNER_AWAITING,	 /**< waiting until the chosen member is the primary */
 	OWNER_STATES
 };
 
@@ -177,81 +186,78 @@
 	bool configured;
 
 	struct lead_record record;
-	uint64_t revision;   /**< of @a record; 0: none is known */
-	bool read;	     /**< the record was looked for */
-	bool outdated;	     /**< another VM knows of a newer one: it is to be read */
-	bool busy;	     /**< a call about the record is under way */
-	int64_t next_us;     /**< no further call before */
-	int64_t asked_us;    /**< when the record's owner was last asked whether it lives */
-	bool owner_lost;     /**< its process has ended or does not answer */
-	bool asking;	     /**< the owner is being asked */
-	int64_t reported_us; /**< when another VM last said that it cannot reach the owner; 0: never
-			      */
-	int64_t report_us;   /**< when this VM last said so */
-	int64_t store_failed_us; /**< when a read of the record last failed; 0: the last one did not
-				  */
-	bool invited;		 /**< its owner asks this VM to claim it */
-	uint64_t superseded;	 /**< revision of a newer record, told by the VM that wrote it */
-	int64_t invited_us; /**< when this VM, as the owner, last asked another one to claim it */
-	int64_t untaken_last_us; /**< when the last statement was not taken */
-	int64_t untaken_us; /**< since when no owner has taken a statement from this VM; 0: one has
-			     */
-	uint64_t hint_revision; /**< of a newer record that another VM told of */
+	uint64_t revision;	  /**< revision of @a record in the store; 0: no record is known */
+	bool record_loaded;	  /**< the record, or its absence, was read from the store */
+	bool outdated;		  /**< a newer record exists: read it */
+	bool record_busy;	  /**< a read or write of the record is in flight */
+	int64_t next_call_us;	  /**< no read, write or order before this time */
+	int64_t owner_asked_us;	  /**< when the owner was last asked whether it serves the group */
+	bool owner_lost;	  /**< the owner has ended or does not answer */
+	bool owner_query_pending; /**< a request to the owner is in flight */
+	int64_t unreachable_reported_us; /**< last report of another VM; 0: never */
+	int64_t report_sent_us;		 /**< when this VM last reported the owner unreachable */
+	int64_t store_failed_us; /**< when the last read of the record failed; 0: it succeeded */
+	bool invited;		 /**< the owner has asked this VM to claim the group */
+	uint64_t newer_revision; /**< revision of a newer record, announced by its writer */
+	int64_t invited_us; /**< when this VM, as the owner, last invited another VM to claim */
+	int64_t last_not_accepted_us;  /**< when an owner last did not accept a statement */
+	int64_t not_accepted_since_us; /**< since when no statement is accepted; 0: they are */
+	uint64_t hint_revision;	       /**< revision of a newer record that another VM reported */
 	char hint_address[ADDRESS_SIZE];
-	char owner_at[ADDRESS_SIZE];  /**< address that @a owner_near is of */
-	bool owner_near;	      /**< the owner is in this VM's data centre */
-	char told_primary[NAME_SIZE]; /**< member that leads, as the owner last told */
-	bool mark_asked; /**< the owner is being asked what it knows of the newest write */
-	int64_t mark_asked_us;
-	uint64_t registration; /**< under which the record was last seen to be this VM's */
-	bool recovered;	       /**< the store lacks a choice that @a record has */
-	int64_t recovered_us;  /**< when this VM is to write it */
-	uint64_t lapses;       /**< of this VM's lease, when the record was last read or written */
-	bool unsettled;	       /**< no primary may be found before the record is read again */
-	bool rereading;	       /**< it is to be read now */
-	int64_t read_us;       /**< when this VM last took a read for itself */
-	int64_t near_us;       /**< when it last took one as the reader of its data centre */
-	bool reading;	       /**< this VM reads from replicas by itself, for want of an owner */
-	bool yielded;	       /**< this VM sends nothing for the group any more */
-	bool sending; /**< this VM may be sending under an ownership that it has given away */
+	char owner_local_address[ADDRESS_SIZE]; /**< address that @a owner_local applies to */
+	bool owner_local;
+	char reported_primary[NAME_SIZE]; /**< primary, as last reported by the owner */
+	bool mark_query_pending;	  /**< a request for the newest mark is in flight */
+	int64_t mark_query_us;
+	uint64_t registration; /**< of this VM when the record was last confirmed */
+	bool recovered;	       /**< the store lost a choice of primary that @a record has */
+	int64_t recover_at_us; /**< when this VM writes the lost choice back */
+	uint64_t lapses;       /**< lapses of this VM's lease when the record was last confirmed */
+	bool unsettled;	       /**< the record must be read again before a primary is accepted */
+	bool rereading;	       /**< the read required by @a unsettled was requested */
+	int64_t last_read_us;  /**< when this VM last accepted a read as a non-owner */
+	int64_t last_local_read_us; /**< when it last accepted a READER_LOCAL read */
+	bool serves_reads;	    /**< this VM, not the owner, serves reads from replicas */
+	bool yielded;		    /**< this VM has stopped sending statements for the group */
+	bool sending;		    /**< this VM may be sending, possibly as a previous owner */
 
 	enum owner_state state;
 	int64_t state_us;
-	int64_t moved_us; /**< when it was last handed over for being far from its primary */
-	bool to_leave;	  /**< the primary is to leave, and its successor is not yet chosen */
-	bool planning;	  /**< a planned change is being written to the record */
-	bool planned;	  /**< the primary is alive and leaves */
+	int64_t last_move_us; /**< last attempt to hand the group to a VM near the primary */
+	bool leave_pending;   /**< the primary must leave, and no successor is chosen yet */
+	bool plan_recording;  /**< the record of a planned change is being written */
+	bool planned;	      /**< the change is planned: the primary is alive and leaves */
 	int target;
-	int except; /**< a member that could not be promoted, or -1 */
+	int excluded; /**< member that could not be promoted, or -1 */
 	uint64_t token;
-	int64_t unserved_us; /**< since when no primary serves */
+	int64_t unserved_since_us; /**< since when no primary serves; 0: one does */
 	bool ordered;
 	struct succession succession;
 	struct {
-		bool possible; /**< no order for the recorded choice has gone out */
+		bool possible; /**< no promotion was ordered for the recorded choice */
 		uint64_t floor;
 		char target[NAME_SIZE];
-	} undo; /**< what the record said before the choice */
+	} undo; /**< record fields before the choice */
 	int64_t chosen_us;
 	int64_t fence_next_us;
 
 	unsigned n;
 	struct owner_member member[GROUP_MEMBERS_MAX];
-	int primary; /**< index of the member that leads, or -1 */
+	int primary; /**< index of the primary, or -1 */
 	uint64_t term;
 	struct marks marks;
 
 	bool others_asked;
-	unsigned others_out;
-	char reaches[NAME_SIZE]; /**< a VM that reaches the primary, when this one does not */
-	int64_t others_us;
+	unsigned others_pending;
+	char reached_by[NAME_SIZE]; /**< VM that reaches the primary while this VM does not */
+	int64_t others_asked_us;
 
-	struct fairq write_queue[OWNER_PRIORITIES]; /**< what only the primary can serve */
+	struct fairq write_queue[OWNER_PRIORITIES]; /**< for the primary only */
 	struct fairq read_queue[OWNER_PRIORITIES];
-	struct owner_jobs held; /**< were next, and had no member that could serve them */
+	struct owner_jobs held; /**< dequeued, but no member can serve them yet */
 	struct owner_jobs running;
 	struct owner_txs txs;
-	unsigned jobs;
+	unsigned n_jobs;
 	bool dispatching;
 	bool dispatch_again;
 };
@@ -260,148 +266,166 @@
 struct owner {
 	struct service service;
 	struct owner_groups groups;
-	uint64_t conf_version; /**< that last changed a pool or an evacuation */
-	GHashTable *by_pool;   /**< the same; each statement looks its group up some times */
+	uint64_t conf_version; /**< last version with a changed pool or evacuation */
+	GHashTable *by_pool;   /**< pool name to group; looked up several times per statement */
 	struct event *tick;
 	bool leaving;
-	int64_t left_us;
+	int64_t leave_started_us;
 };
 
 struct service *owner_service_create(struct kernel *k);
 struct owner *owner_of(struct kernel *k);
 /**
- * RPC address of the VM to ask for @a pool: its owner as far as is known, else the VM that is to
- * claim it; NULL when there is none.
+ * Returns the RPC address of the owner of @a pool as far as it is known (@a known is set), else
+ * that of the VM that is to claim the group, or NULL.
  */
 const char *owner_address(struct owner *o, const char *pool, bool *known);
-/** Newest revision of the group's record that this VM has heard of. */
+/** Returns the newest revision of the group's record known to this VM. */
 uint64_t owner_known_revision(struct owner *o, const char *pool);
-/** Note whether the group's owner took a statement. @return since when none did, in us; 0: it did
+/**
+ * Records whether the owner accepted a statement.
+ * @return for how long no owner has accepted one, in us; 0 if @a accepted
  */
-int64_t owner_took(struct owner *o, const char *pool, bool took);
-/** For how long no owner has taken a statement from this VM, in us; 0 when one takes them. */
-int64_t owner_untaken_us(struct owner *o, const char *pool);
-/** A statement did not reach the owner: have the VM that is to claim the group look after it. */
+int64_t owner_note_accepted(struct owner *o, const char *pool, bool accepted);
+/** Returns for how long no owner has accepted a statement from this VM, in us; 0 if one does. */
+int64_t owner_not_accepting_us(struct owner *o, const char *pool);
+/** Reports to the VM that is to claim the group that a statement did not reach the owner. */
 void owner_report_unreachable(struct owner *o, const char *pool);
 /**
- * The owner told what it knows of the newest write: @a pos held all that was acknowledged before
- * @a asked_us. Kept for reads while the owner is out of reach.
+ * Takes a mark reported by the owner: @a pos includes all writes acknowledged before @a asked_us.
+ * Marks are kept for reads while the owner is unreachable.
  */
-void owner_told_mark(struct owner *o, const char *pool, struct pos pos, int64_t asked_us);
+void owner_update_mark(struct owner *o, const char *pool, struct pos pos, int64_t asked_us);
 /**
- * RPC address of the VM of this data centre that reads for it: at the pool's member that is here,
- * or, where none is, at those elsewhere. NULL when the owner is here.
+ * Returns the RPC address of the reader VM of this data centre, which serves reads from the pool's
+ * local member, or from members elsewhere if there is none. NULL if the owner is in this data
+ * centre.
  */
-const char *owner_near_reader(struct owner *o, const char *pool);
-/** Whether a read of data up to @a max_age_us old could be served by this VM itself. */
+const char *owner_local_reader(struct owner *o, const char *pool);
+/** Whether this VM itself could serve a read that allows data up to @a max_age_us old. */
 bool owner_can_read(struct owner *o, const char *pool, int64_t max_age_us);
-/** An answer told of a newer record than is known here. */
-void owner_heard(struct owner *o, const char *pool, const char *vm, const char *address,
-		 uint64_t revision);
+/** Takes a report that @a vm owns the group by a record newer than the known one. */
+void owner_note_newer_record(struct owner *o, const char *pool, const char *vm, const char *address,
+			     uint64_t revision);
 
-/* owner.c: "og" is for owner_group */
-/** This process. */
+/* owner.c */
+/** Returns the name and incarnation of this process. */
 struct lead_vm owner_self(const struct owner *o);
-struct fleet *og_fleet(const struct owner_group *g);
-struct owner_group *og_find(struct owner *o, const char *pool);
-bool og_mine(const struct owner_group *g);
-/** Whether this VM may send to the group's primary now, and believe what it answers. */
-bool og_may_send(const struct owner_group *g);
-void og_state(struct owner_group *g, enum owner_state state, const char *why);
-/** How long until a primary is likely to serve; 0 when one does. */
-int64_t og_wait_us(const struct owner_group *g, int64_t now);
-struct owner_member *og_primary(struct owner_group *g);
-/** Whether a member that is not leaving is in @a data_center. */
-bool og_has_member(const struct owner_group *g, const char *data_center);
+struct fleet *owner_group_fleet(const struct owner_group *g);
+struct owner_group *owner_group_find(struct owner *o, const char *pool);
+bool owner_group_is_own(const struct owner_group *g);
+/** Whether this VM may send to the group's primary and trust its answers now. */
+bool owner_group_may_send(const struct owner_group *g);
+void owner_group_set_state(struct owner_group *g, enum owner_state state, const char *why);
+/** Returns the expected time until a primary serves, in us; 0 if one does. */
+int64_t owner_group_expected_wait_us(const struct owner_group *g, int64_t now);
+struct owner_member *owner_group_primary(struct owner_group *g);
+/** Whether @a data_center has a member that is not leaving. */
+bool owner_group_has_member(const struct owner_group *g, const char *data_center);
 
 /* owner-record.c */
 void record_listen(struct owner *o);
-/** Read the record from the store itself, past what the watch has told. */
+/** Reads the record from the store, independently of the watch. */
 void record_read(struct owner_group *g);
-/** Another VM knows of a newer record than this one. */
+/** Marks the known record as outdated, so that it is read again. */
 void record_outdated(struct owner_group *g);
 typedef void (*record_written)(struct owner_group *g, bool ok);
-/** Write @a r as the group's record if it is still at the known revision. */
+/** Writes @a r as the record if the store still has the known revision. */
 void record_write(struct owner_group *g, const struct lead_record *r, record_written cb);
-/** Stop being the owner; what is open may still end, since two senders harm nothing. */
-void record_ownership_ends(struct owner_group *g, const char *why);
+/** Ends ownership. Open transactions may finish, since two senders to one primary do no harm. */
+void record_end_ownership(struct owner_group *g, const char *why);
 
 /* owner-claim.c */
 void claim_tick(struct owner_group *g, int64_t now);
-/** Another VM has written a newer record that names itself. */
+/** Ends ownership after another VM announced a newer record that names itself. */
 void claim_superseded(struct owner_group *g);
 void claim_owner_serve(struct rpc_request *rq, const void *args, void *owner);
 void claim_yield_serve(struct rpc_request *rq, const void *args, void *owner);
-/** Give the group to another VM; open transactions end here. */
+/** Hands the group to another VM. Open transactions finish on this VM. */
 void claim_hand_over(struct owner_group *g, const char *to, const char *why);
-/** Ask the owner what it knows of the newest write. */
+/** Asks the owner for its newest mark. */
 void claim_ask_mark(struct owner_group *g, int64_t now);
 /**
- * Ask another VM to claim the group: the store turns this one away, and a change of primary has to
- * be written there.
+ * Asks another VM to claim the group, when the store refuses this VM and a change of primary has to
+ * be recorded.
  */
 void claim_invite(struct owner_group *g, const char *why);
-/** The record could not be read: a report on its owner has to go to another VM. */
+/** Passes a report of an unreachable owner to another VM after the record could not be read. */
 void claim_store_failed(struct owner_group *g);
-/** Hand the group to a VM of its primary's data centre, if this one is not there. */
-void claim_move_near(struct owner_group *g, int64_t now);
-/** Tell all VMs who owns the group. */
-void claim_tell_all(struct owner_group *g);
-/** Stop sending for the group at once. */
+/** Hands the group to a VM in the data centre of its primary, if this VM is elsewhere. */
+void claim_move_to_primary(struct owner_group *g, int64_t now);
+/** Notifies all VMs of the owner of the group. */
+void claim_notify_all(struct owner_group *g);
+/** Stops sending statements for the group at once and closes its connections. */
 void claim_stop(struct owner_group *g, const char *why);
 
 /* owner-change.c */
-/** Looks older than this do not decide a choice. */
-#define CHANGE_LOOK_FRESH_US (400 * USEC_PER_MSEC)
-/** Replace the primary. @param planned it lives, and is to leave */
+/** Longest age of a probe result that is used to choose a primary. */
+#define CHANGE_PROBE_FRESH_US (400 * USEC_PER_MSEC)
+/** Starts a change of primary. @param planned the primary is alive and must leave */
 void change_begin(struct owner_group *g, bool planned, const char *why);
 void change_tick(struct owner_group *g, int64_t now);
-/** The member at @a i leads from now on. */
-void change_lead_begins(struct owner_group *g, int i, const char *why);
-/** The planned change cannot be made now: the old primary goes on. */
+/** Makes the member at @a i the primary and serves the group. */
+void change_set_primary(struct owner_group *g, int i, const char *why);
+/** Cancels a planned change that cannot be made now; the old primary continues. */
 void change_call_off(struct owner_group *g, const char *why);
-/** Whether a primary is to be replaced though it may live. */
+/** Whether the primary must be replaced although it may be alive. */
 bool change_must_leave(const struct owner_member *m, int64_t now);
-/** It was to leave so long ago that it gets no more statements, whoever may follow it. */
-bool change_overstays(const struct owner_member *m, int64_t now);
-/** Nothing comes from the member, though something was asked. */
+/**
+ * Whether the member has used up the time it has for leaving, so that it must get no more
+ * statements, even without a successor.
+ */
+bool change_exceeds_leave_time(const struct owner_member *m, int64_t now);
+/** Whether the member has left requests unanswered for too long. */
 bool change_is_silent(const struct owner_member *m, int64_t now);
 
 /* owner-choose.c */
-/** The members as candidates; one counts as reached when its look is younger than @a fresh_us. */
+/**
+ * Fills in the members as candidates. One counts as reached if its last probe result is younger
+ * than @a fresh_us.
+ */
 void choose_candidates(const struct owner_group *g, struct lead_candidate *c, const char **names,
 		       int64_t now, int64_t fresh_us);
-/** The member to follow the present primary, or -1; see choose_candidates(). */
+/** Returns the member to succeed the current primary, or -1; see choose_candidates(). */
 int choose_successor(const struct owner_group *g, int64_t now, int64_t fresh_us);
-/** The member that leads as the record has it, or -1. */
+/** Returns the member that is the primary according to the record, or -1. */
 int choose_leader(const struct owner_group *g, int64_t now);
-/** Write to the record that @a target is to lead a term above @a highest. */
+/** Writes the choice of @a target to the record. It must lead at a term above @a highest. */
 void choose_record(struct owner_group *g, int target, uint64_t highest, record_written cb);
-/** Write the record as it was before the choice, if no order has gone out. */
+/** Reverts the recorded choice if no promotion was ordered for it. */
 void choose_undo(struct owner_group *g);
-/** Take the choice back when the former primary is there again. @return whether that began */
-bool choose_take_back(struct owner_group *g, int64_t now);
-/** Whether the order waits for what a former primary holds and the chosen member lacks. */
+/**
+ * Reverts the recorded choice when the previous primary is reachable again.
+ * @return whether the write was started
+ */
+bool choose_undo_if_returned(struct owner_group *g, int64_t now);
+/**
+ * Whether the promotion must wait because a previous primary holds log that the chosen member
+ * lacks.
+ */
 bool choose_order_waits(const struct owner_group *g, int64_t now);
-/** The step of OWNER_CHOOSING. */
+/** Runs the state OWNER_CHOOSING. */
 void choose_step(struct owner_group *g, int64_t now);
 
 /* owner-fence.c */
-/** Ask all that may still be sending to stop, and the store whether they still could. */
+/** Asks all other senders to stop, and checks in the store whether their leases have ended. */
 void fence_ask(struct owner_group *g);
 
 /* owner-watch.c */
 void watch_tick(struct owner_group *g, int64_t now);
-/** A member answered something. */
-void watch_heard(struct owner_member *m, struct pos pos, int64_t asked_us);
-/** Something was sent to a member. */
+/** Records an answer of a member to a request sent at @a asked_us. */
+void watch_answered(struct owner_member *m, struct pos pos, int64_t asked_us);
+/** Records that a request was sent to a member. */
 void watch_sent(struct owner_member *m, int64_t now);
-/** Look at a member as soon as possible. */
-void watch_look(struct owner_member *m);
-/** The same, on a new connection: one that was begun during a cut may never open. */
-void watch_look_anew(struct owner_member *m);
+/** Makes a probe of the member due at once. */
+void watch_probe_soon(struct owner_member *m);
+/**
+ * Closes the probe connection and makes a probe due at once. A connection started during a network
+ * partition may never open.
+ */
+void watch_probe_reconnect(struct owner_member *m);
 void watch_close(struct owner_member *m);
-/** A replica that answers nothing gets no more statements until it is heard. */
+/** Marks a replica that does not answer as down; it gets no statements until it answers. */
 void watch_judge_replica(struct owner_member *m, int64_t now);
 void watch_reach_serve(struct rpc_request *rq, const void *args, void *owner);
 
@@ -410,69 +434,70 @@
 void queue_clear(struct owner_group *g);
 void queue_run_serve(struct rpc_request *rq, const void *args, void *owner);
 void queue_dispatch(struct owner_group *g);
-/** Refuse all that waits and that only the primary can serve, or all. */
+/** Refuses all waiting statements that need the primary, or all waiting ones if @a all. */
 void queue_refuse(struct owner_group *g, bool all, enum outcome o);
 void queue_tick(struct owner_group *g, int64_t now);
-/** The queue that a job waits in. */
+/** Returns the queue of a job. */
 struct fairq *queue_of(struct owner_job *job);
-/** A job goes back to wait for another try. */
-void queue_again(struct owner_job *job);
+/** Puts a job back to wait for another attempt. */
+void queue_retry(struct owner_job *job);
 
 /* owner-job.c */
 /**
- * The position that a read, or the begin of reads, needs on a replica.
- * @return false when none is known that is new enough
+ * Determines the log position that a read, or the begin of a read-only transaction, requires on a
+ * replica.
+ * @return false if no recent enough position is known
  */
-bool job_need(const struct owner_job *job, struct pos *need);
-/** Start @a job on @a m; false when no connection is to be had there now. */
+bool job_needed_pos(const struct owner_job *job, struct pos *need);
+/** Starts @a job on @a m. @return false if no connection is available there now */
 bool job_start(struct owner_job *job, struct owner_member *m);
-/** Start a statement of an open transaction. */
+/** Starts a statement of an open transaction. */
 void job_start_in_tx(struct owner_job *job);
 void job_conn_opened(struct owner_conn *c, enum member_result result);
-/** Tell who owns the group, if the statement's sender knows of nothing as new. */
-void job_put_owner(ml_run_res *res, const struct owner_group *g, uint64_t known);
-/** Answer a job that is on no connection, and free it. */
+/** Adds the owner to the answer if the entry knows no record as new as this VM's. */
+void job_fill_owner(ml_run_res *res, const struct owner_group *g, uint64_t known);
+/** Answers and frees a job that has no connection. */
 void job_end(struct owner_job *job, enum outcome o, const struct member_answer *a,
 	     int64_t retry_after_us);
-/** The job's time, or its member's patience, is over. */
+/** Ends or retries a running job that exceeded its deadline or READ_RETRY_AFTER_US. */
 void job_expire(struct owner_job *job, int64_t now);
 void job_lost(struct owner_job *job, const char *why);
 
 /* owner-command.c */
 /** Most commands in one write. */
 #define OWNER_COMMANDS_MAX 64
-/** Commands that make the connection's values those of the session. @return how many */
+/** Writes the commands that give the connection the session's values. @return their number */
 unsigned command_values(struct owner_job *job, struct member_command *out);
 /**
- * The command that prepares what @a job executes, if its connection lacks it; its name goes to
- * @a name. @return how many: 0 or 1
+ * Writes the command that prepares the statement of @a job if the connection lacks it, and stores
+ * its name in @a name. @return the number of commands: 0 or 1
  */
 unsigned command_prepare(struct owner_job *job, char name[OWNER_NAME_MAX],
 			 struct member_command *out);
 
 /* owner-conn.c */
 struct owner_conn *conn_get(struct owner_member *m, const char *team);
-/** Whether conn_get() would find or open one. */
+/** Whether conn_get() would find or open a connection. */
 bool conn_available(const struct owner_member *m, const char *team);
-/** Whether an idle connection of the team is open. */
+/** Whether the team has an idle open connection. */
 bool conn_ready(const struct owner_member *m, const char *team);
-/** The connection's statement has ended: it is free for another, or is closed if not as it should.
- */
+/** Makes a connection available again after its statement, or closes it if it cannot be reused. */
 void conn_release(struct owner_conn *c, enum tx_state state);
 void conn_close(struct owner_conn *c);
 void conn_close_idle(struct owner_member *m);
 /**
- * A statement got no answer though the member lives: connections that rest may have gone silent
- * too, and each would take a statement before it shows.
+ * Closes connections that have been idle for longer than IDLE_KEEP_US, after a statement got no
+ * answer although the member is alive. They may be dead as well, and each would lose a statement
+ * before this shows.
  */
-void conn_distrust(struct owner_member *m);
+void conn_close_stale(struct owner_member *m);
 void conn_close_all(struct owner_member *m);
 void conn_tick(struct owner_member *m, int64_t now);
 struct owner_tx *tx_find(struct owner_group *g, uint64_t id);
 struct owner_tx *tx_create(struct owner_job *job);
-/** Forget the transaction; its connection is released by the caller or closed. */
+/** Frees the transaction. The caller releases or closes its connection. */
 void tx_free(struct owner_tx *tx);
-/** Roll back by closing the connection. */
+/** Rolls the transaction back by closing its connection. */
 void tx_abort(struct owner_tx *tx, const char *why);
 void tx_closed(uint64_t rpc_conn, void *owner);
 
--- a/src/session-remote.c
+++ b/src/session-remote.c
@@ -84,7 +84,7 @@
 	if (s->near_failed || !replica_may_serve(s) ||
 	    (s->route.mode == READ_SESSION && now_us() - s->wrote_us < REPLICAS_LACK_US))
 		return NULL;
-	return owner_near_reader(owner_of(session_kernel(s)), s->route.pool);
+	return owner_local_reader(owner_of(session_kernel(s)), s->route.pool);
 }
 
 /** Whether this VM itself could serve the statement from replicas in reach. */
@@ -102,7 +102,7 @@
 	int64_t now = now_us();
 	int64_t pause = MIN(PAUSE_MIN_US << MIN(s->tries, 4U), PAUSE_MAX_US);
 	int64_t limit = MIN(s->deadline_us, s->started_us + OWNER_WAIT_US);
-	int64_t untaken = owner_took(owner_of(session_kernel(s)), s->route.pool, false);
+	int64_t untaken = owner_note_accepted(owner_of(session_kernel(s)), s->route.pool, false);
 
 	s->tries++;
 	/*
@@ -131,7 +131,7 @@
 /** The near reader could not serve it: the owner is asked, at once. */
 static bool owner_instead(struct session *s, enum rpc_status status, enum outcome o)
 {
-	if (s->reader != READER_NEAR || s->closed || s->tx_id != 0)
+	if (s->reader != READER_LOCAL || s->closed || s->tx_id != 0)
 		return false;
 	if (status == RPC_DONE && (o == OUTCOME_DONE || o == OUTCOME_SQL_ERROR))
 		return false;
@@ -164,12 +164,13 @@
 	s->call = NULL;
 	event_del(s->timer);
 	if (status == RPC_DONE && res->outcome >= 0 && res->outcome < OUTCOMES) {
-		owner_told_mark(owner_of(session_kernel(s)), s->route.pool,
-				(struct pos){res->mark.term, res->mark.lsn},
-				s->sent_us - (int64_t)res->mark_age_us);
+		owner_update_mark(owner_of(session_kernel(s)), s->route.pool,
+				  (struct pos){res->mark.term, res->mark.lsn},
+				  s->sent_us - (int64_t)res->mark_age_us);
 		if (res->owner_revision > 0)
-			owner_heard(owner_of(session_kernel(s)), s->route.pool, res->owner,
-				    res->owner_address, res->owner_revision);
+			owner_note_newer_record(owner_of(session_kernel(s)), s->route.pool,
+						res->owner, res->owner_address,
+						res->owner_revision);
 		if (owner_instead(s, status, (enum outcome)res->outcome))
 			return;
 		if (!s->closed && tries_again(s, (enum outcome)res->outcome)) {
@@ -177,7 +178,7 @@
 			return;
 		}
 		if (s->reader == READER_OWNER)
-			owner_took(owner_of(session_kernel(s)), s->route.pool, true);
+			owner_note_accepted(owner_of(session_kernel(s)), s->route.pool, true);
 		if (s->closed && res->transaction != 0) {
 			s->tx_id = res->transaction;
 			g_strlcpy(s->tx_address, s->address, sizeof(s->tx_address));
@@ -265,7 +266,7 @@
 	} else if (s->reader == READER_ANY) {
 		g_strlcpy(s->address, k->settings->advertise, sizeof(s->address));
 	} else if (near != NULL) {
-		s->reader = READER_NEAR;
+		s->reader = READER_LOCAL;
 		g_strlcpy(s->address, near, sizeof(s->address));
 	} else {
 		s->reader = READER_OWNER;
@@ -321,7 +322,7 @@
  */
 bool session_waits_in_vain(struct session *s)
 {
-	int64_t untaken = owner_untaken_us(owner_of(session_kernel(s)), s->route.pool);
+	int64_t untaken = owner_not_accepting_us(owner_of(session_kernel(s)), s->route.pool);
 
 	if (untaken < OWNER_GONE_US || session_may_read_here(s))
 		return false;
--- a/tests/harness-owner.c
+++ b/tests/harness-owner.c
@@ -1,4 +1,4 @@
-/** @file harness-owner.c Members, a store and a promoter that a test plays. */
+/** @file harness-owner.c Fake members, store and promoter, controlled by a test. */
 #include "harness-owner.h"
 
 #include "shares.h"
@@ -7,8 +7,8 @@
 #include <string.h>
 
 struct fake fake;
-/** Earlier worlds still refer to theirs. */
-static GPtrArray *every_conn;
+/** Connections of all worlds, since closed worlds still refer to theirs. */
+static GPtrArray *all_conns;
 
 static struct member_conn *fake_open(struct kernel *k, const char *address, const char *pool,
 				     const char *team, const char *id, member_opened cb,
@@ -56,15 +56,15 @@
 	f->opened = cb;
 	f->ended = closed;
 	f->arg = arg;
-	if (every_conn == NULL)
-		every_conn = g_ptr_array_new();
-	g_ptr_array_add(every_conn, f);
+	if (all_conns == NULL)
+		all_conns = g_ptr_array_new();
+	g_ptr_array_add(all_conns, f);
 	g_assert(fake.n_conns < FAKE_CONNS_MAX);
 	fake.conns[fake.n_conns++] = f;
 	return &f->conn;
 }
 
-/* The store: it answers at once unless the test holds answers back */
+/* The store answers at once unless the test holds answers back */
 
 struct held {
 	enum store_status status;
@@ -204,7 +204,7 @@
 					    .promoter = &fake_promoter_ops,
 					    .records = &fake_records};
 
-/* One VM that owns nothing */
+/* A VM that owns no group */
 
 static void add_pool(struct world *w)
 {
@@ -250,14 +250,14 @@
 	add_pool(w);
 }
 
-void world_turn(struct world *w)
+void world_run_once(struct world *w)
 {
 	event_base_loop(w->k->base, EVLOOP_NONBLOCK);
 }
 
 /* A VM that owns the group */
 
-void answer_looks(uint64_t lsn)
+void answer_probes(uint64_t lsn)
 {
 	unsigned i;
 
@@ -282,13 +282,13 @@
 	}
 }
 
-void turn_until(struct world *w, struct owner_group *g, enum owner_state state)
+void run_until_state(struct world *w, struct owner_group *g, enum owner_state state)
 {
 	int64_t until = test_now_ms() + 3000;
 
 	while (g->state != state && test_now_ms() < until) {
 		event_base_loop(w->k->base, EVLOOP_ONCE);
-		answer_looks(10);
+		answer_probes(10);
 	}
 	CHECK(g->state == state, "state %d, not %d", g->state, state);
 }
@@ -299,8 +299,8 @@
 
 	world_open(w);
 	fleet_of(w->k)->source->start(fleet_of(w->k));
-	g = og_find(w->o, POOL);
-	turn_until(w, g, OWNER_SERVING);
+	g = owner_group_find(w->o, POOL);
+	run_until_state(w, g, OWNER_SERVING);
 	return g;
 }
 
@@ -311,7 +311,7 @@
 		fake_store_deliver();
 	if (store_source.tick != NULL)
 		fleet_of(w->k)->source->stop(fleet_of(w->k));
-	/* The lease is this world's. */
+	/* The next world starts without a lease. */
 	memset(&store_source, 0, sizeof(store_source));
 }
 
@@ -355,5 +355,5 @@
 	store_source.registered = true;
 	store_source.registration = 1;
 	store_source.lease_until_us = now_us() + 10 * USEC_PER_SEC;
-	return og_find(w->o, POOL);
+	return owner_group_find(w->o, POOL);
 }
--- a/tests/harness-owner.h
+++ b/tests/harness-owner.h
@@ -1,6 +1,8 @@
 /**
  * @file harness-owner.h
- * One VM with an owner in this process, before members, a store and a promoter that a test plays.
+ * Runs the owner service of one VM in this process, with fake members, a fake store and a fake
+ * promoter that a test controls. The owner is the VM that holds the connections of a database group
+ * and manages its primary; POOL is the name of that group.
  */
 #ifndef HARNESS_OWNER_H
 #define HARNESS_OWNER_H
@@ -13,7 +15,7 @@
 #define POOL "p"
 #define SELF "127.0.0.1:1"
 
-/** A connection to a member: the test calls its callbacks. */
+/** A fake connection to a member. The test calls its callbacks. */
 struct fake_conn {
 	struct member_conn conn;
 	char id[NAME_SIZE];
@@ -38,41 +40,43 @@
 	unsigned n_commits;
 	unsigned n_gets;
 	uint64_t store_era, store_revision;
-	/** Value of a key that is read, to g_free(); NULL: there are no keys. */
+	/**
+	 * Returns the value of a key, which is freed with g_free(). NULL: the store has no keys.
+	 */
 	char *(*value)(const char *key);
-	/** Whether an answer of the store is held back; NULL: none is. */
+	/** Whether answers of the store are held back. NULL: none are. */
 	bool (*holds)(void);
-	/** A promotion is ordered; NULL: nothing happens. */
+	/** Called when a promotion is ordered. NULL: the order gets no answer. */
 	void (*promote)(const char *member, promoter_done cb, void *arg);
 };
 
-/** What the test plays; begins anew with each world. */
+/** State of the fakes. world_open() resets it. */
 extern struct fake fake;
 
-/** Give the answers that were held back. */
+/** Delivers the answers of the store that were held back. */
 void fake_store_deliver(void);
 
 struct world {
 	struct settings settings;
 	struct kernel *k;
 	struct owner *o;
-	enum outcome outcome; /**< of the last statement; OUTCOMES while it runs */
+	enum outcome outcome; /**< of the last statement; OUTCOMES until it is answered */
 };
 
-/** One VM that owns nothing, and a group of three members in data centre "dc". */
+/** Creates one VM that owns no group, and a group of three members in data centre "dc". */
 void world_open(struct world *w);
-/** Let the loop do what is due. */
-void world_turn(struct world *w);
-/** Open the world and wait until its VM serves the group, with m0 as the primary. */
+/** Runs the events that are due. */
+void world_run_once(struct world *w);
+/** Opens the world and runs until its VM serves the group, with m0 as the primary. */
 struct owner_group *world_serve(struct world *w);
 void world_close(struct world *w);
-/** vm-1, which is this VM and has a lease, and vm-9, which is the one to claim the group. */
+/** Lists vm-1, which is this VM and holds a lease, and vm-9, which is to claim the group. */
 struct owner_group *world_join(struct world *w);
-/** Answer all looks that are out: m0 leads, the others have @a lsn. */
-void answer_looks(uint64_t lsn);
-/** Turn, answering looks, until the group is in @a state. */
-void turn_until(struct world *w, struct owner_group *g, enum owner_state state);
-/** The configuration with @a change made to the pool. */
+/** Answers all open probes: m0 is the primary, and all members have @a lsn. */
+void answer_probes(uint64_t lsn);
+/** Runs the loop and answers probes until the group is in @a state. */
+void run_until_state(struct world *w, struct owner_group *g, enum owner_state state);
+/** Applies a configuration in which @a change was made to the pool. */
 void world_configure(struct world *w, void (*change)(struct conf_pool *pool, const char *member),
 		     const char *member);
 void set_leaving(struct world *w, const char *member);
--- a/tests/test-change.c
+++ b/tests/test-change.c
@@ -1,11 +1,14 @@
-/** @file test-change.c Changes of primary while cuts heal, and what they may discard. */
+/**
+ * @file test-change.c Changes of primary while network partitions heal, and the writes they may
+ * discard.
+ */
 #include "harness-owner.h"
 #include "log.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Decisions */
+/* Decisions of decide/succession.c */
 
 static struct succession_report report(const char *primary, int64_t heard_us, bool stopped)
 {
@@ -17,8 +20,11 @@
 	return r;
 }
 
-/* Guards against a change of a primary that serves the callers on its side of a healed cut. */
-static void test_a_primary_that_a_former_owner_hears_is_kept(void)
+/*
+ * Guards against replacing a primary that still serves callers on its side of a healed network
+ * partition.
+ */
+static void test_primary_in_contact_with_previous_owner_is_kept(void)
 {
 	const int64_t t0 = 100 * USEC_PER_SEC, ms = USEC_PER_MSEC;
 	struct succession_report r = report("m0", t0 + 990 * ms, false);
@@ -34,8 +40,11 @@
 	CU_ASSERT_STRING_EQUAL(s.vm, "vm-9");
 }
 
-/* Guards against a wait for a primary that ended after its former owner last heard it. */
-static void test_a_primary_heard_before_it_fell_silent_is_replaced(void)
+/*
+ * Guards against waiting for a primary that ended after its previous owner last received an answer
+ * of it.
+ */
+static void test_primary_silent_since_last_contact_is_replaced(void)
 {
 	const int64_t t0 = 100 * USEC_PER_SEC, ms = USEC_PER_MSEC;
 	struct succession_report r = report("m0", t0 - 10 * ms, true);
@@ -53,8 +62,11 @@
 	CU_ASSERT_FALSE(succession_goes_on(&sender, t0 + 5 * ms));
 }
 
-/* Guards against a promotion that discards what a member that is just back still holds. */
-static void test_a_choice_waits_for_what_was_acknowledged(void)
+/*
+ * Guards against a promotion that discards writes which a member that is reachable again still
+ * holds.
+ */
+static void test_choice_waits_for_acknowledged_writes(void)
 {
 	struct succession_choice c = {.best = {1, 30}, .may_gain = true};
 	struct succession s = {0};
@@ -74,17 +86,21 @@
 }
 
 /*
- * A data centre with a primary, its owner and callers is cut off; the VM under test, on the other
- * side, claims the group. The cut heals at any moment, the former owner's lease may end before.
+ * Model of a network partition. A data centre with the primary, its owner and callers is cut off.
+ * The VM under test, on the other side, claims the group. The partition heals at a random time; the
+ * lease of the previous owner may end before.
  */
 
-/** SEED=N plays one of them. */
+/** The environment variable SEED=N runs just one seed. */
 #define SEEDS 1500
 #define MEMBERS 3
 #define TERM 1
 #define DEMOTE_US (1 * USEC_PER_SEC)
-/** A look that began during the cut ends, and the next one is answered. */
-#define NOTICE_US (600 * USEC_PER_MSEC)
+/**
+ * Time after the heal until a probe that began during the partition has ended and the next one is
+ * answered.
+ */
+#define DETECT_US (600 * USEC_PER_MSEC)
 
 struct model_member {
 	bool primary;
@@ -95,22 +111,23 @@
 static struct model {
 	int64_t now;
 	int64_t heals_us;
-	int64_t lease_us;    /**< end of the former owner's lease */
-	int64_t lag_us;	     /**< after the heal, replicas receive nothing for so long */
-	int64_t unlisted_us; /**< the first primary's entry lapses; it is back after listed_us */
+	int64_t lease_us;    /**< end of the previous owner's lease */
+	int64_t lag_us;	     /**< replicas receive nothing for this long after the heal */
+	int64_t unlisted_us; /**< the entry of the first primary expires; it is listed again at
+				listed_us */
 	int64_t listed_us;
-	unsigned n_dead; /**< connections that were begun before the heal */
-	int store_steps; /**< that an answer of the store takes, in the mean */
+	unsigned n_dead; /**< connections opened before the heal, which stay dead */
+	int store_steps; /**< mean number of steps until the store answers */
 	bool lost_orders;
-	bool stopped; /**< the former owner has */
-	int64_t heard_us;
+	bool stopped; /**< the previous owner has stopped */
+	int64_t last_contact_us;
 	struct model_member member[MEMBERS];
-	uint64_t acknowledged; /**< at TERM */
+	uint64_t acknowledged; /**< newest acknowledged position, in TERM */
 	int seed;
-	bool ordered; /**< some order went out */
-	int target;   /**< of an order under way; -1: none */
+	bool ordered; /**< a promotion was ordered */
+	int target;   /**< of the promotion in progress; -1: none */
 	int64_t effect_us;
-	bool ordered_in_reach; /**< the primary could be reached when the first order went out */
+	bool ordered_reachable; /**< the primary was reachable at the first order */
 	bool promoted;
 	enum owner_state at_heal;
 	struct owner_group *g;
@@ -121,7 +138,7 @@
 	return model.now;
 }
 
-static bool cut(void)
+static bool partitioned(void)
 {
 	return model.now < model.heals_us;
 }
@@ -131,7 +148,7 @@
 	return model.store_steps > 1;
 }
 
-/** The former owner's key stands as long as its lease. */
+/** The key of the previous owner exists as long as its lease. */
 static char *model_value(const char *key)
 {
 	if (!g_str_has_suffix(key, "vm-9") || model.now > model.lease_us)
@@ -139,7 +156,7 @@
 	return g_strdup("{\"name\":\"vm-9\",\"incarnation\":\"9\"}");
 }
 
-static bool former_sends(void)
+static bool previous_owner_sends(void)
 {
 	return !model.stopped && model.now < model.lease_us;
 }
@@ -148,23 +165,23 @@
 {
 	const ml_yield_args *a = args;
 	ml_yield_res res = {.primary = "m0", .acknowledged = {TERM, model.acknowledged}};
-	struct succession_sender s = {.may_send = former_sends(),
+	struct succession_sender s = {.may_send = previous_owner_sends(),
 				      .quiet_us = (int64_t)a->quiet_us,
-				      .heard_us = model.heard_us};
+				      .heard_us = model.last_contact_us};
 
-	/* As good as no answer: it says nothing. */
-	if (cut()) {
+	/* Stands for a lost answer: it reports nothing. */
+	if (partitioned()) {
 		res = (ml_yield_res){.primary = ""};
 		rpc_reply(rq, &res);
 		return;
 	}
-	res.heard_age_us = (u_quad_t)(model.now - model.heard_us);
+	res.heard_age_us = (u_quad_t)(model.now - model.last_contact_us);
 	res.stopped = !succession_goes_on(&s, model.now);
 	model.stopped = model.stopped || res.stopped;
 	rpc_reply(rq, &res);
 }
 
-/** Nothing is learned of the other VM by heartbeats. */
+/** Heartbeats carry no information about the other VM. */
 static void model_heartbeat(struct rpc_request *rq, const void *args, void *owner)
 {
 	ml_heartbeat res = {.vm = ""};
@@ -175,16 +192,16 @@
 static void model_promote(const char *member, promoter_done cb, void *arg)
 {
 	bool lost = model.lost_orders && rand() % 4 != 0;
-	bool in_reach = model.now > model.heals_us + NOTICE_US;
+	bool reachable = model.now > model.heals_us + DETECT_US;
 
-	CHECK(model.ordered || !in_reach, "seed %d: a primary in reach is to be replaced",
-	      model.seed);
+	CHECK(model.ordered || !reachable,
+	      "seed %d: promotion ordered although the primary is reachable", model.seed);
 	model.ordered = true;
 
 	if (model.target < 0 && !lost) {
 		model.target = member[1] - '0';
 		model.effect_us = model.now + (200 + rand() % 1000) * USEC_PER_MSEC;
-		model.ordered_in_reach = in_reach;
+		model.ordered_reachable = reachable;
 	}
 	cb(lost ? PROMOTER_UNKNOWN : PROMOTER_ACCEPTED, lost ? 0 : 200, arg);
 }
@@ -199,9 +216,9 @@
 	model.target = -1;
 	if (m->primary)
 		return;
-	CHECK(!model.ordered_in_reach || m->lsn >= model.acknowledged,
-	      "seed %d: a primary in reach was replaced at %lu of %lu", seed, m->lsn,
-	      model.acknowledged);
+	CHECK(!model.ordered_reachable || m->lsn >= model.acknowledged,
+	      "seed %d: reachable primary replaced by a member at lsn %lu, acknowledged %lu", seed,
+	      m->lsn, model.acknowledged);
 	m->primary = true;
 	m->term = TERM + 1;
 	model.promoted = true;
@@ -212,7 +229,8 @@
 {
 	const struct owner_group *g = model.g;
 
-	return g->state == OWNER_SERVING && g->primary == 0 && g->term == TERM && og_may_send(g);
+	return g->state == OWNER_SERVING && g->primary == 0 && g->term == TERM &&
+	       owner_group_may_send(g);
 }
 
 static void model_writes(void)
@@ -220,25 +238,26 @@
 	struct model_member *m = &model.member[0];
 	unsigned i;
 
-	if (m->primary && (former_sends() || successor_sends()) && rand() % 3 == 0)
+	if (m->primary && (previous_owner_sends() || successor_sends()) && rand() % 3 == 0)
 		model.acknowledged = ++m->lsn;
-	if (former_sends())
-		model.heard_us = model.now;
-	/* A lease that ended leaves the group to its successor. */
+	if (previous_owner_sends())
+		model.last_contact_us = model.now;
+	/* A VM whose lease ended leaves the group to the new owner. */
 	model.stopped = model.stopped || model.now >= model.lease_us;
-	if (!cut() && !model.stopped && model.now > model.lease_us - USEC_PER_SEC)
+	if (!partitioned() && !model.stopped && model.now > model.lease_us - USEC_PER_SEC)
 		model.lease_us = model.now + 12 * USEC_PER_SEC;
-	for (i = 1; i < MEMBERS && !cut() && model.now > model.heals_us + model.lag_us; i++) {
+	for (i = 1; i < MEMBERS && !partitioned() && model.now > model.heals_us + model.lag_us;
+	     i++) {
 		if (model.member[i].lsn < m->lsn && !model.member[i].primary)
 			model.member[i].lsn += 1 + (uint64_t)rand() % 3;
 		model.member[i].lsn = MIN(model.member[i].lsn, MAX(m->lsn, model.member[i].lsn));
 	}
-	if (model.promoted && !cut() && model.now > model.effect_us + DEMOTE_US)
+	if (model.promoted && !partitioned() && model.now > model.effect_us + DEMOTE_US)
 		m->primary = false;
 }
 
-/** Answer the looks at members in reach. */
-static void model_looks(void)
+/** Answers the probes of reachable members. */
+static void model_answer_probes(void)
 {
 	unsigned i;
 
@@ -249,7 +268,7 @@
 		member_opened opened = f->opened;
 		member_told told = f->told;
 
-		if (f->closed || (m == model.member && (cut() || i < model.n_dead)))
+		if (f->closed || (m == model.member && (partitioned() || i < model.n_dead)))
 			continue;
 		st.received = (struct pos){m->term, m->lsn};
 		f->opened = NULL;
@@ -274,7 +293,7 @@
 	pool->n++;
 }
 
-/** The entry of the first primary lapses during a long cut. */
+/** Removes the entry of the first primary during a long partition, and lists it again later. */
 static void model_lists(struct world *w)
 {
 	bool listed = conf_pool_find(conf_pool(fleet_of(w->k)->conf, POOL), "m0") >= 0;
@@ -287,11 +306,11 @@
 
 static void model_step(struct world *w, int seed)
 {
-	bool was_cut = cut();
+	bool was_partitioned = partitioned();
 
 	model.now += (2 + rand() % 15) * USEC_PER_MSEC;
 	store_source.lease_until_us = model.now + 10 * USEC_PER_SEC;
-	if (was_cut && !cut()) {
+	if (was_partitioned && !partitioned()) {
 		model.at_heal = model.g->state;
 		model.n_dead = fake.n_conns;
 	}
@@ -300,18 +319,18 @@
 	model_writes();
 	if (rand() % model.store_steps == 0)
 		fake_store_deliver();
-	model_looks();
+	model_answer_probes();
 	claim_tick(model.g, model.now);
 	if (model.g->state > OWNER_CLAIMING) {
 		watch_tick(model.g, model.now);
 		change_tick(model.g, model.now);
 	}
-	world_turn(w);
+	world_run_once(w);
 }
 
 static void model_begin(struct world *w, int seed)
 {
-	static const struct lead_vm former = {.name = "vm-9", .incarnation = 9};
+	static const struct lead_vm previous = {.name = "vm-9", .incarnation = 9};
 	struct owner_group *g;
 	unsigned i;
 
@@ -339,10 +358,10 @@
 	model.acknowledged = 20;
 	for (i = 0; i < MEMBERS; i++)
 		model.member[i] = (struct model_member){.primary = i == 0, .term = TERM, .lsn = 20};
-	g->record.owner = former;
+	g->record.owner = previous;
 	g_strlcpy(g->record.address, SELF, sizeof(g->record.address));
 	g->revision = 3;
-	g->read = true;
+	g->record_loaded = true;
 	g->owner_lost = true;
 	peers_list(&fleet_of(w->k)->peers, 6,
 		   (const struct vm_listing[]){
@@ -353,8 +372,9 @@
 }
 
 /*
- * Guards against a primary that lives being replaced below what it acknowledged: cuts heal in every
- * state of a change, with slow stores, lost orders, replicas that lag and leases that end.
+ * Guards against replacing a live primary by a member that lacks acknowledged writes. Partitions
+ * heal in every state of a change, with a slow store, lost orders, lagging replicas and expiring
+ * leases.
  */
 static void test_no_acknowledged_write_of_a_living_primary_is_discarded(void)
 {
@@ -366,32 +386,31 @@
 		if (getenv("SEED") != NULL && atoi(getenv("SEED")) != seed)
 			continue;
 		model_begin(&w, seed);
-		/* The suspicion of a VM that is cut off comes back with each beat that is missed.
-		 */
-		for (step = 0;
-		     step < 1500 && (cut() || model.now < model.heals_us + 8 * USEC_PER_SEC);
+		/* An unreachable VM becomes suspect again with each missed heartbeat. */
+		for (step = 0; step < 1500 &&
+			       (partitioned() || model.now < model.heals_us + 8 * USEC_PER_SEC);
 		     step++)
 			model_step(&w, seed);
 		log_flush();
 		healed_in[model.at_heal]++;
-		if (og_mine(model.g))
+		if (owner_group_is_own(model.g))
 			CHECK(model.g->state == OWNER_SERVING, "seed %d: state %d at the end", seed,
 			      model.g->state);
 		world_close(&w);
 	}
 	for (step = OWNER_CLAIMING; step < OWNER_STATES; step++) {
 		if (step != OWNER_SERVING && step != OWNER_SETTLING)
-			CHECK(healed_in[step] > 0, "no cut healed in state %d", step);
+			CHECK(healed_in[step] > 0, "no partition healed in state %d", step);
 	}
 	kernel_set_clock(NULL);
 }
 
 static const struct test_case cases[] = {
-	{"a_primary_that_a_former_owner_hears_is_kept",
-	 test_a_primary_that_a_former_owner_hears_is_kept},
-	{"a_primary_heard_before_it_fell_silent_is_replaced",
-	 test_a_primary_heard_before_it_fell_silent_is_replaced},
-	{"a_choice_waits_for_what_was_acknowledged", test_a_choice_waits_for_what_was_acknowledged},
+	{"primary_in_contact_with_previous_owner_is_kept",
+	 test_primary_in_contact_with_previous_owner_is_kept},
+	{"primary_silent_since_last_contact_is_replaced",
+	 test_primary_silent_since_last_contact_is_replaced},
+	{"choice_waits_for_acknowledged_writes", test_choice_waits_for_acknowledged_writes},
 	{"no_acknowledged_write_of_a_living_primary_is_discarded",
 	 test_no_acknowledged_write_of_a_living_primary_is_discarded},
 };
--- a/tests/test-evacuation.c
+++ b/tests/test-evacuation.c
@@ -93,7 +93,7 @@
 	a.deadline_us = 800 * USEC_PER_MSEC;
 	w->outcome = OUTCOMES;
 	rpc_start(rpc_of(w->k), SELF, ML_RUN, &a, USEC_PER_SEC, on_ran, w);
-	world_turn(w);
+	world_run_once(w);
 }
 
 /** Whether a statement was sent to @a member since the world was opened. */
