--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -1,4 +1,4 @@
-/** @file test-owner.c The owner of a group, with members that a test plays. */
+/** @file test-owner.c The owner of a database group, with fake members. */
 #include "harness-owner.h"
 #include "session.h"
 
@@ -30,7 +30,7 @@
 	a.deadline_us = deadline_ms * USEC_PER_MSEC;
 	w->outcome = OUTCOMES;
 	rpc_start(rpc_of(w->k), SELF, ML_RUN, &a, USEC_PER_SEC, on_ran, w);
-	world_turn(w);
+	world_run_once(w);
 }
 
 static void read_locally(struct world *w, unsigned max_age_ms, unsigned deadline_ms)
@@ -38,10 +38,10 @@
 	read_by(w, READER_ANY, max_age_ms, deadline_ms);
 }
 
-/** As the VM that reads for its data centre. */
-static void read_near(struct world *w)
+/** Reads as the reader VM of a data centre. */
+static void read_as_local_reader(struct world *w)
 {
-	read_by(w, READER_NEAR, 1500, 800);
+	read_by(w, READER_LOCAL, 1500, 800);
 }
 
 static void test_a_read_asks_for_the_position_that_it_needs(void)
@@ -49,7 +49,7 @@
 	struct world w;
 
 	world_open(&w);
-	owner_told_mark(w.o, POOL, (struct pos){1, 35}, now_us() - 100 * USEC_PER_MSEC);
+	owner_update_mark(w.o, POOL, (struct pos){1, 35}, now_us() - 100 * USEC_PER_MSEC);
 	read_locally(&w, 1500, 800);
 	CU_ASSERT_EQUAL(fake.n_conns, 1);
 	fake.conns[0]->opened(&fake.conns[0]->conn, MEMBER_DONE, (struct pos){1, 23},
@@ -58,23 +58,25 @@
 	CU_ASSERT_EQUAL(fake.sent[0].wait_for.lsn, 35);
 }
 
-/* Nothing as new as the route asks for is known: no member may be asked at all. */
-static void test_old_knowledge_serves_no_read(void)
+/*
+ * Guards against data older than the route allows: if no mark is recent enough, no member may be
+ * asked.
+ */
+static void test_read_without_recent_mark_is_refused(void)
 {
 	struct world w;
 
 	world_open(&w);
-	owner_told_mark(w.o, POOL, (struct pos){1, 35}, now_us() - 2 * USEC_PER_SEC);
+	owner_update_mark(w.o, POOL, (struct pos){1, 35}, now_us() - 2 * USEC_PER_SEC);
 	read_locally(&w, 1500, 800);
 	CU_ASSERT_EQUAL(fake.n_conns, 0);
 	CU_ASSERT_EQUAL(w.outcome, OUTCOME_NOT_SENT);
 }
 
 /*
- * A caller gets data older than its route allows. Its read waits for a connection to open;
- * meanwhile this VM claims the group, and what it knew of the newest write is dropped with the
- * claim. When the connection opens no position is known, and the read went out without one to a
- * replica that lacks recent writes. It has to wait until a position is known again.
+ * Guards against data older than the route allows. While a read waits for a connection to open,
+ * this VM claims the group and drops its marks. The read was then sent without a position to a
+ * replica that lacks recent writes. It has to wait for a new mark.
  */
 static void test_a_read_is_not_sent_without_a_position(void)
 {
@@ -82,10 +84,10 @@
 	struct world w;
 
 	world_open(&w);
-	owner_told_mark(w.o, POOL, (struct pos){1, 35}, now_us());
+	owner_update_mark(w.o, POOL, (struct pos){1, 35}, now_us());
 	read_locally(&w, 1500, 800);
 	CU_ASSERT_EQUAL(fake.n_conns, 1);
-	g = og_find(w.o, POOL);
+	g = owner_group_find(w.o, POOL);
 	marks_clear(&g->marks);
 	fake.conns[0]->opened(&fake.conns[0]->conn, MEMBER_DONE, (struct pos){1, 23},
 			      fake.conns[0]->arg);
@@ -94,7 +96,9 @@
 	marks_new_term(&g->marks, (struct pos){1, 35}, now_us());
 	test_sleep_ms(10);
 	queue_tick(g, now_us());
-	/* The first member has just told that it lacks the position: another one is tried. */
+	/*
+	 * The first member has reported a position below the required one, so another one is tried.
+	 */
 	CU_ASSERT_EQUAL(fake.n_conns, 2);
 	fake.conns[1]->opened(&fake.conns[1]->conn, MEMBER_DONE, (struct pos){1, 36},
 			      fake.conns[1]->arg);
@@ -103,9 +107,10 @@
 }
 
 /*
- * Callers' writes are refused for seconds in a planned change. The store turns the owner away just
- * when its primary is to leave; it had stopped serving before it tried to write the change to the
- * record. The record is written first now, and as long as that fails the old primary goes on.
+ * Guards against refusing writes for seconds in a planned change. The store refuses the owner just
+ * when its primary must leave, and the owner had stopped serving before it tried to write the
+ * change to the record. The record is written first, and the old primary continues while that
+ * fails.
  */
 static void test_a_planned_change_that_cannot_be_written_stops_nothing(void)
 {
@@ -120,30 +125,30 @@
 	set_leaving(&w, "m0");
 	while (fake.n_commits == before && test_now_ms() < until) {
 		event_base_loop(w.k->base, EVLOOP_ONCE);
-		answer_looks(10);
+		answer_probes(10);
 	}
 	CU_ASSERT_EQUAL(g->state, OWNER_SERVING);
-	CU_ASSERT_EQUAL(og_wait_us(g, now_us()), 0);
+	CU_ASSERT_EQUAL(owner_group_expected_wait_us(g, now_us()), 0);
 	fake.store_refuses = false;
-	turn_until(&w, g, OWNER_ORDERING);
+	run_until_state(&w, g, OWNER_ORDERING);
 	CU_ASSERT_STRING_NOT_EQUAL(g->record.target, "m0");
 	CU_ASSERT_EQUAL(g->record.floor, 1);
 	world_close(&w);
 }
 
-/** One turn in which the replicas answer a caller's read each, and all looks are answered. */
-static void turn_with_reads(struct world *w, struct owner_group *g)
+/** Runs the loop once, with both replicas answering a read and all probes answered. */
+static void run_once_with_reads(struct world *w, struct owner_group *g)
 {
 	event_base_loop(w->k->base, EVLOOP_ONCE);
-	watch_heard(&g->member[1], (struct pos){1, 10}, now_us());
-	watch_heard(&g->member[2], (struct pos){1, 10}, now_us());
-	answer_looks(10);
+	watch_answered(&g->member[1], (struct pos){1, 10}, now_us());
+	watch_answered(&g->member[2], (struct pos){1, 10}, now_us());
+	answer_probes(10);
 }
 
 /*
- * A leaving primary is still used when it stops, and its callers' writes are lost. Replicas that
- * serve reads all the time are heard without a look, so none was looked at, and without a fresh
- * look none could be chosen. A primary that is to leave makes looks due at once.
+ * Guards against writes lost with a leaving primary. Replicas that serve reads all the time count
+ * as alive without probes, so none had a recent probe result and none could be chosen. A leaving
+ * primary makes probes due at once.
  */
 static void test_replicas_that_serve_reads_can_follow_a_leaving_primary(void)
 {
@@ -152,20 +157,20 @@
 	struct world w;
 
 	g = world_serve(&w);
-	g->member[1].seen_us -= 10 * USEC_PER_SEC;
-	g->member[2].seen_us -= 10 * USEC_PER_SEC;
+	g->member[1].observed_us -= 10 * USEC_PER_SEC;
+	g->member[2].observed_us -= 10 * USEC_PER_SEC;
 	set_leaving(&w, "m0");
 	while (g->state != OWNER_ORDERING && test_now_ms() < until)
-		turn_with_reads(&w, g);
+		run_once_with_reads(&w, g);
 	CU_ASSERT_EQUAL(g->state, OWNER_ORDERING);
 	CU_ASSERT_STRING_NOT_EQUAL(g->record.target, "m0");
 	world_close(&w);
 }
 
 /*
- * A member gets statements long after it said that it leaves. Its successor cannot be written to
- * the record, so the old primary goes on. That ends before the time is over that members are given
- * to leave: they stop then, and what they run would be lost.
+ * Guards against statements lost with a member that stops. The successor of a leaving primary
+ * cannot be written to the record, so the primary continues, but only until the time that members
+ * have for leaving is nearly used up.
  */
 static void test_a_leaving_primary_is_not_used_for_longer_than_it_may(void)
 {
@@ -178,17 +183,17 @@
 	set_leaving(&w, "m0");
 	g->member[0].leaving_us -= 6 * USEC_PER_SEC;
 	while (g->state == OWNER_SERVING && test_now_ms() < until)
-		turn_with_reads(&w, g);
+		run_once_with_reads(&w, g);
 	CU_ASSERT_NOT_EQUAL(g->state, OWNER_SERVING);
-	CU_ASSERT_TRUE(og_wait_us(g, now_us()) > 0);
+	CU_ASSERT_TRUE(owner_group_expected_wait_us(g, now_us()) > 0);
 	fake.store_refuses = false;
 	world_close(&w);
 }
 
 /*
- * Callers' reads are refused as not for a primary, while a member that could serve them is idle. A
- * VM that has given the group away still remembers who led; a read that it took to that member for
- * itself counted as one for its primary, which it may not send to, and came back again and again.
+ * Guards against refused reads while an idle member could serve them. A VM that has handed over the
+ * group remembers the primary. A read that it sent to that member for itself counted as one to its
+ * own primary, to which it may not send, and was retried again and again.
  */
 static void test_a_former_owner_reads_at_the_former_primary(void)
 {
@@ -200,36 +205,37 @@
 	CU_ASSERT_EQUAL(g->state, OWNER_NONE);
 	g_strlcpy(g->record.owner.name, "vm-2", sizeof(g->record.owner.name));
 	g->member[1].down = g->member[2].down = true;
-	owner_told_mark(w.o, POOL, (struct pos){1, 10}, now_us());
+	owner_update_mark(w.o, POOL, (struct pos){1, 10}, now_us());
 	read_locally(&w, 1500, 800);
-	answer_looks(10);
+	answer_probes(10);
 	CU_ASSERT_EQUAL(fake.n_sent, 1);
 	CU_ASSERT_EQUAL(w.outcome, OUTCOMES);
 	world_close(&w);
 }
 
 /*
- * Callers' reads wait to their deadline for nothing. A VM has claimed a group whose primary it does
- * not reach, and knows no position; another sender's lease has to end before a primary is made. The
- * reads cannot be served by then, so they are refused at once, with when to come back.
+ * Guards against reads that wait until their deadline without being served. A VM has claimed a
+ * group whose primary it does not reach, and has no mark; the lease of another sender must end
+ * before a promotion. The reads cannot be served in time, so they are refused at once with a time
+ * to retry.
  */
-static void test_reads_that_no_position_will_come_for_are_refused_at_once(void)
+static void test_reads_without_expected_mark_are_refused_at_once(void)
 {
 	struct owner_group *g;
 	struct world w;
 
 	g = world_serve(&w);
 	marks_clear(&g->marks);
-	og_state(g, OWNER_FENCING, "test");
+	owner_group_set_state(g, OWNER_FENCING, "test");
 	read_locally(&w, 1500, 800);
 	CU_ASSERT_EQUAL(w.outcome, OUTCOME_NOT_PRIMARY);
 	world_close(&w);
 }
 
 /*
- * A group goes without writes for seconds. Its primary fell silent, a successor was written to the
- * record, the promoter refused it; then the old primary is back and has the newest log. Ordering
- * its promotion changes nothing, so a replica that has all of it must be chosen.
+ * Guards against seconds without writes. The primary stopped answering, a successor was recorded,
+ * and the promoter refused it; then the old primary is back with the newest log. Ordering its own
+ * promotion changes nothing, so a replica that holds its whole log must be chosen.
  */
 static void test_a_primary_that_is_back_is_not_promoted(void)
 {
@@ -242,18 +248,18 @@
 	g->record.floor = 1;
 	change_begin(g, false, "test");
 	while (g->state != OWNER_ORDERING && test_now_ms() < until)
-		turn_with_reads(&w, g);
+		run_once_with_reads(&w, g);
 	CU_ASSERT_EQUAL(g->state, OWNER_ORDERING);
 	CU_ASSERT_STRING_NOT_EQUAL(g->record.target, "m0");
 	world_close(&w);
 }
 
 /*
- * All statements through one VM are refused for as long as it runs. It was the one to claim a group
- * for a moment and asked the owner in vain; then the owner was heard again and another VM is next
- * in line. Statements have to go to the owner again.
+ * Guards against a VM refusing all statements for as long as it runs. It was to claim a group for a
+ * moment and got no answer from the owner; then the owner answered heartbeats again, and another VM
+ * became the one to claim. Statements must go to the owner again.
  */
-static void test_an_owner_that_is_heard_again_is_asked_again(void)
+static void test_statements_go_to_an_owner_that_is_reachable_again(void)
 {
 	const struct vm_listing l[] = {
 		{.name = "vm-1", .address = SELF, .data_center = "dc"},
@@ -264,7 +270,7 @@
 	bool known;
 
 	world_open(&w);
-	g = og_find(w.o, POOL);
+	g = owner_group_find(w.o, POOL);
 	peers = &fleet_of(w.k)->peers;
 	peers_list(peers, 5, l, G_N_ELEMENTS(l));
 	g_strlcpy(g->record.owner.name, "vm-2", sizeof(g->record.owner.name));
@@ -282,9 +288,9 @@
 }
 
 /*
- * A small team's callers are refused through one VM for good. All their statements wait for tokens
- * there; one found no owner, for a moment. That must not be held against the later ones, none of
- * which would be sent to find the owner back.
+ * Guards against refusing a small team's callers at one VM for good. All their statements wait for
+ * tokens there, and one of them found no owner for a moment. If this were held against later ones,
+ * none would be sent to find that the owner is back.
  */
 static void test_one_failure_does_not_refuse_all_that_follows(void)
 {
@@ -292,19 +298,19 @@
 	struct world w;
 
 	world_open(&w);
-	g = og_find(w.o, POOL);
-	owner_took(w.o, POOL, false);
-	g->untaken_us -= 5 * USEC_PER_SEC;
-	CU_ASSERT_TRUE(owner_untaken_us(w.o, POOL) >= 5 * USEC_PER_SEC);
-	g->untaken_last_us -= 2 * USEC_PER_SEC;
-	CU_ASSERT_EQUAL(owner_untaken_us(w.o, POOL), 0);
-	CU_ASSERT_TRUE(owner_took(w.o, POOL, false) < USEC_PER_SEC);
+	g = owner_group_find(w.o, POOL);
+	owner_note_accepted(w.o, POOL, false);
+	g->not_accepted_since_us -= 5 * USEC_PER_SEC;
+	CU_ASSERT_TRUE(owner_not_accepting_us(w.o, POOL) >= 5 * USEC_PER_SEC);
+	g->last_not_accepted_us -= 2 * USEC_PER_SEC;
+	CU_ASSERT_EQUAL(owner_not_accepting_us(w.o, POOL), 0);
+	CU_ASSERT_TRUE(owner_note_accepted(w.o, POOL, false) < USEC_PER_SEC);
 }
 
 /*
- * Each VM that starts reads the record of each group: at 81 VMs and 8 groups more than a third of
- * all calls to the store. Only the VM that is to claim the group needs it, or one that was told of
- * a newer record.
+ * Guards against load on the store: when each starting VM read the record of each group, this was
+ * more than a third of all calls to the store at 81 VMs and 8 groups. Only the VM that is to claim
+ * the group, or one that learned of a newer record, needs it.
  */
 static void test_only_who_may_claim_reads_the_record(void)
 {
@@ -318,10 +324,10 @@
 	fake.n_gets = 0;
 	claim_tick(g, now_us());
 	CU_ASSERT_EQUAL(fake.n_gets, 0);
-	owner_heard(w.o, POOL, "vm-1", SELF, 9);
+	owner_note_newer_record(w.o, POOL, "vm-1", SELF, 9);
 	claim_tick(g, now_us());
 	CU_ASSERT_EQUAL(fake.n_gets, 1);
-	/* The other VM is gone: this one is to claim the group. */
+	/* vm-9 is gone, so this VM is to claim the group. */
 	record_outdated(g);
 	g->outdated = false;
 	peers_suspect(peers, peers_find(peers, "vm-9"));
@@ -331,9 +337,9 @@
 }
 
 /*
- * Callers' writes are refused for nine seconds. The owner's VM lost its power, and so did the
- * primary, which is back after three; but the change of primary had begun, and waits until the
- * lease of the former owner has run out. Nothing was ordered yet, so the primary goes on.
+ * Guards against refusing writes for nine seconds. The VM of the owner and the primary lost power.
+ * The primary is back after three seconds, but the change of primary waits until the lease of the
+ * previous owner has ended. No promotion was ordered yet, so the primary must continue.
  */
 static void test_a_primary_that_is_back_before_the_order_goes_on(void)
 {
@@ -346,14 +352,14 @@
 	lead_add_sender(&g->record, &other);
 	change_begin(g, false, "silent");
 	CU_ASSERT_EQUAL(g->state, OWNER_FENCING);
-	/* The store still has the other VM's key. */
+	/* The store still has the key of the other VM. */
 	g->fence_next_us = now_us() + 10 * USEC_PER_SEC;
-	/* What was seen before the change does not count. */
+	/* Probe results from before the change do not count. */
 	change_tick(g, now_us());
 	CU_ASSERT_EQUAL(g->state, OWNER_FENCING);
 	while (g->state == OWNER_FENCING && test_now_ms() < until) {
 		event_base_loop(w.k->base, EVLOOP_ONCE);
-		answer_looks(10);
+		answer_probes(10);
 	}
 	CU_ASSERT_EQUAL(g->state, OWNER_SERVING);
 	CU_ASSERT_EQUAL(g->primary, 0);
@@ -362,11 +368,11 @@
 }
 
 /*
- * Callers' writes are refused for three seconds more than need be. A group whose primary was never
- * changed waits so long for one that lists itself late, as at the first start of all; but this one
- * has taken writes, so its primary is gone.
+ * Guards against refusing writes for three seconds more than needed. A group that was never written
+ * to waits that long for a primary that registers late when the system starts. A group that has
+ * taken writes must not, since its primary is gone.
  */
-static void test_a_group_that_was_written_to_does_not_wait_as_at_the_start(void)
+static void test_written_group_does_not_use_the_initial_find_timeout(void)
 {
 	struct owner_group *g;
 	struct world w;
@@ -374,27 +380,22 @@
 
 	g = world_serve(&w);
 	for (i = 0; i < g->n; i++)
-		g->member[i].seen.primary = false;
+		g->member[i].observed.primary = false;
 	g->primary = -1;
-	og_state(g, OWNER_FINDING, "test");
+	owner_group_set_state(g, OWNER_FINDING, "test");
 	g->state_us -= USEC_PER_SEC;
 	change_tick(g, now_us());
 	CU_ASSERT_NOT_EQUAL(g->state, OWNER_FINDING);
-	og_state(g, OWNER_FINDING, "test");
+	owner_group_set_state(g, OWNER_FINDING, "test");
 	for (i = 0; i < g->n; i++)
-		g->member[i].seen.received = (struct pos){1, 0};
+		g->member[i].observed.received = (struct pos){1, 0};
 	g->state_us -= USEC_PER_SEC;
 	change_tick(g, now_us());
 	CU_ASSERT_EQUAL(g->state, OWNER_FINDING);
 	world_close(&w);
 }
 
-/*
- * All VMs lose power, and for three seconds their successors find the members full: what the former
- * processes held without need still counts there. A connection that no statement used for a while
- * is closed, one that is in use is not.
- */
-/** A read on the member's first connection ends. */
+/** Ends the read on a connection. */
 static void end_read(struct fake_conn *c)
 {
 	const struct member_answer a = {.result = MEMBER_DONE,
@@ -407,14 +408,19 @@
 	c->answered(&c->conn, &a, c->arg);
 }
 
+/*
+ * Guards against members that are full for three seconds after all VMs lost power, since
+ * connections that the previous processes held without need still count there. A connection without
+ * a statement for a while is closed; one in use is not.
+ */
 static void test_an_unused_connection_is_closed(void)
 {
 	struct owner_group *g;
 	struct world w;
 
 	world_open(&w);
-	g = og_find(w.o, POOL);
-	owner_told_mark(w.o, POOL, (struct pos){1, 35}, now_us());
+	g = owner_group_find(w.o, POOL);
+	owner_update_mark(w.o, POOL, (struct pos){1, 35}, now_us());
 	read_locally(&w, 1500, 800);
 	fake.conns[0]->opened(&fake.conns[0]->conn, MEMBER_DONE, (struct pos){1, 36},
 			      fake.conns[0]->arg);
@@ -427,38 +433,41 @@
 	CU_ASSERT_TRUE(fake.conns[0]->closed);
 }
 
-/* Hundreds of VMs that read for want of an owner use up the connections of all members. */
+/*
+ * Guards against hundreds of VMs that read while the owner is unreachable and use up the
+ * connections of all members.
+ */
 static void test_only_usual_readers_keep_connections(void)
 {
 	struct owner_group *g;
 	struct world w;
 
 	world_open(&w);
-	g = og_find(w.o, POOL);
+	g = owner_group_find(w.o, POOL);
 	g->member[0].conf.connections = 135;
-	owner_told_mark(w.o, POOL, (struct pos){1, 35}, now_us());
+	owner_update_mark(w.o, POOL, (struct pos){1, 35}, now_us());
 	read_locally(&w, 1500, 800);
 	fake.conns[0]->opened(&fake.conns[0]->conn, MEMBER_DONE, (struct pos){1, 36},
 			      fake.conns[0]->arg);
 	end_read(fake.conns[0]);
 	conn_tick(&g->member[0], now_us() + USEC_PER_SEC);
 	CU_ASSERT_TRUE(fake.conns[0]->closed);
-	read_near(&w);
+	read_as_local_reader(&w);
 	fake.conns[1]->opened(&fake.conns[1]->conn, MEMBER_DONE, (struct pos){1, 36},
 			      fake.conns[1]->arg);
 	end_read(fake.conns[1]);
 	conn_tick(&g->member[0], now_us() + USEC_PER_SEC);
 	CU_ASSERT_FALSE(fake.conns[1]->closed);
-	/* The member refuses one as too many: others want those that rest. */
+	/* After a MEMBER_FULL refusal, idle connections are closed because other VMs need them. */
 	g->member[0].full_us = now_us();
 	conn_tick(&g->member[0], now_us() + USEC_PER_SEC);
 	CU_ASSERT_TRUE(fake.conns[1]->closed);
 }
 
 /*
- * Callers of a data centre without a member had each read carried to the owner, and from there to a
- * replica in a third one. The reader of their own data centre asks the replicas itself, and leaves
- * the primary to the writes that only its owner sees.
+ * Guards against long paths for callers of a data centre without a member: each read went to the
+ * owner and from there to a replica in a third data centre. The reader of their data centre asks
+ * replicas itself and leaves the primary to its owner.
  */
 static void test_a_reader_far_from_all_members_asks_replicas(void)
 {
@@ -467,13 +476,13 @@
 
 	world_open(&w);
 	g_strlcpy(w.settings.data_center, "elsewhere", sizeof(w.settings.data_center));
-	g = og_find(w.o, POOL);
-	g_strlcpy(g->told_primary, "m0", sizeof(g->told_primary));
-	owner_told_mark(w.o, POOL, (struct pos){1, 35}, now_us());
-	read_near(&w);
+	g = owner_group_find(w.o, POOL);
+	g_strlcpy(g->reported_primary, "m0", sizeof(g->reported_primary));
+	owner_update_mark(w.o, POOL, (struct pos){1, 35}, now_us());
+	read_as_local_reader(&w);
 	CU_ASSERT_EQUAL_FATAL(fake.n_conns, 1);
 	CU_ASSERT_STRING_EQUAL(fake.conns[0]->id, "m1");
-	/* Without any replica the primary has to do. */
+	/* Without any usable replica the primary is asked. */
 	fake.conns[0]->opened(&fake.conns[0]->conn, MEMBER_LOST, (struct pos){0},
 			      fake.conns[0]->arg);
 	g->member[1].down = g->member[2].down = true;
@@ -483,7 +492,10 @@
 	CU_ASSERT_STRING_EQUAL(fake.conns[1]->id, "m0");
 }
 
-/* An owner that few VMs look at is cut off, and its group has none until its lease has ended. */
+/*
+ * Guards against a group without an owner until a lease ends: the owner is cut off, and few VMs
+ * exchange heartbeats with it.
+ */
 static void test_a_group_whose_owner_is_not_reached_is_claimed(void)
 {
 	struct store_item item = {
@@ -502,20 +514,22 @@
 	fake.store_revision = item.revision;
 	fake.n_commits = 0;
 	claim_tick(g, now_us());
-	world_turn(&w);
+	world_run_once(&w);
 	claim_tick(g, now_us());
 	CU_ASSERT_EQUAL(fake.n_commits, 0);
 	rpc_start(rpc_of(w.k), SELF, ML_OWNER, &report, USEC_PER_SEC, NULL, NULL);
-	while (!og_mine(g) && test_now_ms() < until) {
-		world_turn(&w);
+	while (!owner_group_is_own(g) && test_now_ms() < until) {
+		world_run_once(&w);
 		claim_tick(g, now_us());
 		test_sleep_ms(5);
 	}
-	CU_ASSERT_TRUE(og_mine(g));
+	CU_ASSERT_TRUE(owner_group_is_own(g));
 	CU_ASSERT_EQUAL(fake.n_commits, 1);
 }
 
-/* Callers wait for seconds after a loss of all VMs, though the group's owner is back. */
+/*
+ * Guards against waits of seconds after a loss of all VMs although the owner of the group is back.
+ */
 static void test_a_restarted_owner_takes_its_group_back(void)
 {
 	struct store_item item = {
@@ -533,8 +547,8 @@
 	claim_tick(g, now_us());
 	CU_ASSERT_EQUAL(fake.n_gets, 0);
 	CU_ASSERT_EQUAL(fake.n_commits, 1);
-	CU_ASSERT_TRUE(og_mine(g));
-	/* Another VM's group is left to its successor. */
+	CU_ASSERT_TRUE(owner_group_is_own(g));
+	/* A group of another VM is left to the VM that is to claim it. */
 	world_open(&w);
 	g = world_join(&w);
 	item.value = "{\"vm\":\"vm-9\",\"incarnation\":\"5\",\"address\":\"127.0.0.1:2\"}";
@@ -545,8 +559,8 @@
 }
 
 /*
- * Guards against a promotion beside an owner that serves: a VM that has not heard of the owner's
- * restart takes the new process, which the record names, for one that has ended.
+ * Guards against a promotion while the owner serves: a VM that has not learned of the restart of
+ * the owner takes the new process, which the record names, for one that has ended.
  */
 static void test_an_owner_is_not_taken_for_its_former_process(void)
 {
@@ -569,9 +583,12 @@
 	fake.store_revision = item.revision;
 	g->invited = true;
 	claim_tick(g, now_us());
-	CU_ASSERT_TRUE(og_mine(g));
+	CU_ASSERT_TRUE(owner_group_is_own(g));
 	CU_ASSERT_EQUAL(g->record.n, 1);
-	/* A list as new as the record tells of a later process: that one has surely ended. */
+	/*
+	 * A list of VMs as new as the record names a later process, so the recorded one has
+	 * certainly ended.
+	 */
 	world_open(&w);
 	g = world_join(&w);
 	peers = &fleet_of(w.k)->peers;
@@ -581,12 +598,15 @@
 	fake.store_revision = item.revision;
 	g->invited = true;
 	claim_tick(g, now_us());
-	CU_ASSERT_TRUE(og_mine(g));
+	CU_ASSERT_TRUE(owner_group_is_own(g));
 	CU_ASSERT_EQUAL(g->record.n, 0);
 }
 
-/** The record of another era, which does not name this VM's @a senders. */
-static void restored_record(struct world *w, const char *senders)
+/**
+ * Delivers a record of another era with @a senders. An era counts how often the store came back
+ * from an older copy.
+ */
+static void deliver_restored_record(struct world *w, const char *senders)
 {
 	char *value = g_strdup_printf("{\"vm\":\"vm-9\",\"incarnation\":\"5\",\"address\":"
 				      "\"127.0.0.1:2\",\"floor\":0,\"target\":\"\","
@@ -600,74 +620,84 @@
 	g_free(value);
 }
 
-/* Guards against a change of primary that does not wait for a sender whom a restore left out. */
-static void test_a_sender_that_the_record_lost_stops(void)
+/*
+ * Guards against a change of primary that does not wait for a sender which the restored record does
+ * not name.
+ */
+static void test_sender_missing_from_restored_record_stops(void)
 {
 	struct owner_group *g;
 	struct world w;
 	char *self;
 
 	g = world_serve(&w);
-	restored_record(&w, "");
-	CU_ASSERT_FALSE(og_mine(g));
+	deliver_restored_record(&w, "");
+	CU_ASSERT_FALSE(owner_group_is_own(g));
 	CU_ASSERT_TRUE(g->yielded);
 	world_close(&w);
-	/* One that the record names is asked to stop, and may end its transactions before. */
+	/*
+	 * A sender that the record names is asked to stop later, and may finish its transactions
+	 * first.
+	 */
 	g = world_serve(&w);
 	self = g_strdup_printf("{\"vm\":\"vm-1\",\"incarnation\":\"%lx\"}", w.k->incarnation);
-	restored_record(&w, self);
+	deliver_restored_record(&w, self);
 	g_free(self);
-	CU_ASSERT_FALSE(og_mine(g));
+	CU_ASSERT_FALSE(owner_group_is_own(g));
 	CU_ASSERT_FALSE(g->yielded);
 	world_close(&w);
 }
 
 /* Guards against all groups standing still while their owners read the records of a new era. */
-static void test_an_owner_goes_on_under_its_former_lease(void)
+static void test_owner_sends_under_its_previous_lease(void)
 {
 	struct owner_group *g;
 	struct world w;
 	unsigned reads;
 
 	g = world_serve(&w);
-	CU_ASSERT_TRUE(og_may_send(g));
+	CU_ASSERT_TRUE(owner_group_may_send(g));
 	fake.store_era = 1;
 	store_source.lease_next_us = 0;
 	source_lease_tick(now_us());
 	CU_ASSERT_NOT_EQUAL(g->registration, fleet_store_registration(fleet_of(w.k)));
-	CU_ASSERT_TRUE(og_may_send(g));
-	/* It reads the record, and nothing is sent past the former lease before that. */
+	CU_ASSERT_TRUE(owner_group_may_send(g));
+	/*
+	 * The owner reads the record, and sends nothing after the end of the previous lease before
+	 * that.
+	 */
 	reads = fake.n_gets;
 	claim_tick(g, now_us());
 	CU_ASSERT_EQUAL(fake.n_gets, reads + 1);
 	store_source.former_until_us = now_us();
-	CU_ASSERT_FALSE(og_may_send(g));
+	CU_ASSERT_FALSE(owner_group_may_send(g));
 	world_close(&w);
 }
 
 static const struct test_case cases[] = {
 	{"a_group_whose_owner_is_not_reached_is_claimed",
 	 test_a_group_whose_owner_is_not_reached_is_claimed},
-	{"a_sender_that_the_record_lost_stops", test_a_sender_that_the_record_lost_stops},
-	{"an_owner_goes_on_under_its_former_lease", test_an_owner_goes_on_under_its_former_lease},
+	{"sender_missing_from_restored_record_stops",
+	 test_sender_missing_from_restored_record_stops},
+	{"owner_sends_under_its_previous_lease", test_owner_sends_under_its_previous_lease},
 	{"a_restarted_owner_takes_its_group_back", test_a_restarted_owner_takes_its_group_back},
 	{"an_owner_is_not_taken_for_its_former_process",
 	 test_an_owner_is_not_taken_for_its_former_process},
 	{"a_primary_that_is_back_before_the_order_goes_on",
 	 test_a_primary_that_is_back_before_the_order_goes_on},
-	{"a_group_that_was_written_to_does_not_wait_as_at_the_start",
-	 test_a_group_that_was_written_to_does_not_wait_as_at_the_start},
+	{"written_group_does_not_use_the_initial_find_timeout",
+	 test_written_group_does_not_use_the_initial_find_timeout},
 	{"only_usual_readers_keep_connections", test_only_usual_readers_keep_connections},
 	{"an_unused_connection_is_closed", test_an_unused_connection_is_closed},
 	{"a_reader_far_from_all_members_asks_replicas",
 	 test_a_reader_far_from_all_members_asks_replicas},
 	{"one_failure_does_not_refuse_all_that_follows",
 	 test_one_failure_does_not_refuse_all_that_follows},
-	{"an_owner_that_is_heard_again_is_asked_again",
-	 test_an_owner_that_is_heard_again_is_asked_again},
+	{"statements_go_to_an_owner_that_is_reachable_again",
+	 test_statements_go_to_an_owner_that_is_reachable_again},
 	{"a_primary_that_is_back_is_not_promoted", test_a_primary_that_is_back_is_not_promoted},
-	{"reads_that_no_position_will_come_for_are_refused_at_once",
-	 test_reads_that_no_position_will_come_for_are_refused_at_once},
+	{"reads_without_expected_mark_are_refused_at_once",
+	 test_reads_without_expected_mark_are_refused_at_once},
 	{"a_former_owner_reads_at_the_former_primary",
 	 test_a_former_owner_reads_at_the_former_primary},
 	{"replicas_that_serve_reads_can_follow_a_leaving_primary",
@@ -678,7 +708,7 @@
 	 test_a_planned_change_that_cannot_be_written_stops_nothing},
 	{"a_read_asks_for_the_position_that_it_needs",
 	 test_a_read_asks_for_the_position_that_it_needs},
-	{"old_knowledge_serves_no_read", test_old_knowledge_serves_no_read},
+	{"read_without_recent_mark_is_refused", test_read_without_recent_mark_is_refused},
 	{"a_read_is_not_sent_without_a_position", test_a_read_is_not_sent_without_a_position},
 	{"only_who_may_claim_reads_the_record", test_only_who_may_claim_reads_the_record},
 };
