--- a/src/adapter.h
+++ b/src/adapter.h
@@ -1,6 +1,7 @@
 /**
  * @file adapter.h
- * All that a daemon speaks to the world outside, for a platform that is not etcd and PostgreSQL.
+ * The interfaces that a platform implements: store, records, members, promotion and callers. A
+ * platform with etcd and PostgreSQL needs no adapter; the daemon supports these directly.
  */
 #ifndef ADAPTER_H
 #define ADAPTER_H
@@ -15,7 +16,7 @@
 	const struct records_ops *records;
 	const struct member_ops *member;
 	const struct promoter_ops *promoter;
-	/** Make the service that listens for callers. */
+	/** Creates the service that accepts callers. */
 	struct service *(*callers)(struct kernel *k);
 };
 
--- a/src/caller.c
+++ b/src/caller.c
@@ -102,7 +102,7 @@
 	 * A VM that is cut off can't hear of a withdrawn key; how long it goes on trusting is the
 	 * operators' choice.
 	 */
-	return trust == 0 || fleet_news_age_us(f) <= trust;
+	return trust == 0 || fleet_conf_age_us(f) <= trust;
 }
 
 static void caller_arm(struct caller *c)
--- a/src/fleet-conf.c
+++ b/src/fleet-conf.c
@@ -1,8 +1,8 @@
 /**
  * @file fleet-conf.c
  * The configuration in force on this VM. A few VMs of each data centre watch the platform's store;
- * the others hear of a new version with a heartbeat and fetch the difference from the VM that has
- * it. A new VM asks both.
+ * the others learn of a new version by a heartbeat and fetch the difference from its sender. A VM
+ * that starts asks both the store and a peer.
  */
 #include "fleet.h"
 
@@ -12,38 +12,38 @@
 
 #include <string.h>
 
-/** VMs of a data centre that watch the store. */
+/** Number of VMs per data centre that watch the store. */
 #define WATCHERS 2
 #define FETCH_TIMEOUT_US (2 * USEC_PER_SEC)
-/** Text of one page. */
+/** Approximate size of a page sent to an admitted peer. */
 #define PAGE_BYTES 131072
-/** What is sent at once also to those that would have to wait for pages. */
-#define SMALL_BYTES 4096
-/** Pause before another VM is asked, after one that sends to others. */
-#define BUSY_PAUSE_US (100 * USEC_PER_MSEC)
+/** Size up to which a difference is also sent to a peer that is not admitted. */
+#define UNADMITTED_BYTES 4096
+/** Delay before another VM is asked after one was busy with other peers. */
+#define BUSY_RETRY_US (100 * USEC_PER_MSEC)
 
-unsigned fleet_watch_place(struct fleet *f)
+unsigned fleet_watch_rank(struct fleet *f)
 {
-	if (f->watch_place < 0)
-		f->watch_place = (int)peers_place(&f->peers, "watch the platform");
-	return (unsigned)f->watch_place;
+	if (f->watch_rank < 0)
+		f->watch_rank = (int)peers_place(&f->peers, "watch the platform");
+	return (unsigned)f->watch_rank;
 }
 
 bool fleet_is_watcher(struct fleet *f)
 {
-	return fleet_watch_place(f) < WATCHERS;
+	return fleet_watch_rank(f) < WATCHERS;
 }
 
 /**
- * A VM that starts while the store is down knows no peer either. The seeds of its settings are
- * asked, so that it serves as soon as one of them answers.
+ * A VM that starts while the store is down has no list of peers either. It asks the seeds of its
+ * settings, so that it can serve as soon as one of them answers.
  */
-void fleet_ask_seed(struct fleet *f)
+void fleet_fetch_from_seed(struct fleet *f)
 {
 	const struct settings *set = f->service.kernel->settings;
 
 	if (f->conf->version == 0 && set->seeds > 0)
-		fleet_conf_behind(f, set->seed[random_bits() % set->seeds]);
+		fleet_fetch_from(f, set->seed[random_bits() % set->seeds]);
 }
 
 /* Configuration */
@@ -62,12 +62,12 @@
 	}
 }
 
-void fleet_take_conf(struct fleet *f, const struct conf_update *u, const char *from)
+void fleet_apply_conf(struct fleet *f, const struct conf_update *u, const char *from)
 {
 	enum conf_verdict v = conf_apply(f->conf, u);
 
 	if (v == CONF_GAP)
-		f->source->behind(f);
+		f->source->resync(f);
 	if (v == CONF_OLD_DOCUMENT)
 		log_warn("conf-older-document", LOG_REVISION("version", u->version),
 			 LOG_NUM("document", conf_document_version(f->conf)),
@@ -79,12 +79,12 @@
 	log_info("conf", LOG_REVISION("version", u->version), LOG_NUM("entries", u->entries->len),
 		 LOG_STR("from", from));
 	fleet_notify(f);
-	fleet_beat(f);
+	fleet_send_heartbeats(f);
 }
 
 /* Between peers */
 
-/** A call to a peer that has a newer configuration, or a newer list of VMs. */
+/** A call that fetches a newer configuration or list of VMs from a peer. */
 struct fetch_call {
 	struct fleet *f;
 	char address[ADDRESS_SIZE];
@@ -92,25 +92,25 @@
 
 static void fetch_send(struct fleet *f, const char *address);
 
-/** Some VM that has a newer configuration, near ones first; NULL when none is known. */
-static const struct vm *any_source(const struct fleet *f)
+/** Picks a random VM with a newer configuration, preferably in this data centre; NULL for none. */
+static const struct vm *pick_source(const struct fleet *f)
 {
-	const struct vm *vm, *near = NULL, *far = NULL;
-	unsigned n_near = 0, n_far = 0;
+	const struct vm *vm, *local = NULL, *remote = NULL;
+	unsigned n_local = 0, n_remote = 0;
 
 	TAILQ_FOREACH(vm, &f->peers.vms, link) {
 		if (vm == f->peers.self || vm->conf_version <= f->conf->version ||
 		    !peers_usable(vm))
 			continue;
-		/* Each of them is as likely. */
+		/* Reservoir sampling: each candidate is equally likely. */
 		if (strcmp(vm->data_center, f->peers.self->data_center) == 0) {
-			if (random_bits() % ++n_near == 0)
-				near = vm;
-		} else if (random_bits() % ++n_far == 0) {
-			far = vm;
+			if (random_bits() % ++n_local == 0)
+				local = vm;
+		} else if (random_bits() % ++n_remote == 0) {
+			remote = vm;
 		}
 	}
-	return near != NULL ? near : far;
+	return local != NULL ? local : remote;
 }
 
 static void page_read(const ml_conf_res *res, struct page *p)
@@ -132,12 +132,12 @@
 	}
 }
 
-/** Take in a page. @return whether the same peer is to be asked for the next one */
-static bool page_take(struct fleet *f, const struct page *p)
+/** Processes a received page. @return whether to fetch the next page from the same peer */
+static bool page_process(struct fleet *f, const struct page *p)
 {
 	struct conf_update u = {0};
 
-	/* Nothing newer than what came meanwhile from another VM, or from the store. */
+	/* Another VM or the store has delivered the same or a newer version meanwhile. */
 	if (p->u.version <= f->conf->version)
 		return false;
 	switch (page_fetch_take(&f->fetch, p)) {
@@ -149,7 +149,7 @@
 		break;
 	}
 	page_fetch_end(&f->fetch, &u);
-	fleet_take_conf(f, &u, "peer");
+	fleet_apply_conf(f, &u, "peer");
 	conf_update_clear(&u);
 	return false;
 }
@@ -163,18 +163,18 @@
 
 	f->fetching = false;
 	if (status == RPC_DONE)
-		fleet_list_hear(f, res);
+		fleet_list_apply_changes(f, res);
 	if (status == RPC_DONE && !res->busy && f->fetch.open && res->base == f->fetch.base) {
 		struct page p = {0};
 
 		page_read(res, &p);
-		next = page_take(f, &p);
+		next = page_process(f, &p);
 		conf_update_clear(&p.u);
 	}
 	if (next)
 		fetch_send(f, call->address);
 	else if (status == RPC_DONE && res->busy)
-		kernel_arm(f->fetch_again, BUSY_PAUSE_US);
+		kernel_arm(f->fetch_retry, BUSY_RETRY_US);
 	g_free(call);
 }
 
@@ -193,29 +193,29 @@
 		  peer_answered, call);
 }
 
-void fleet_fetch_again(evutil_socket_t fd, short what, void *arg)
+void fleet_on_fetch_retry(evutil_socket_t fd, short what, void *arg)
 {
 	struct fleet *f = arg;
-	const struct vm *vm = any_source(f);
+	const struct vm *vm = pick_source(f);
 
 	if (vm != NULL && !f->fetching)
 		fetch_send(f, vm->address);
 }
 
-void fleet_conf_behind(struct fleet *f, const char *address)
+void fleet_fetch_from(struct fleet *f, const char *address)
 {
 	if (!f->fetching)
 		fetch_send(f, address);
 }
 
-/** Fill in a page for a peer, unless too many others are being sent theirs. */
+/** Writes a page for a peer to @a res, or sets busy if too many peers are fetching pages. */
 static void page_put(struct fleet *f, const ml_conf_args *a, uint64_t conn, struct page *p,
 		     ml_conf_res *res)
 {
 	bool admitted = page_peer_admit(&f->page_peers, conn, now_us());
 	guint i;
 
-	page_cut(f->conf, a->conf_version, a->after, admitted ? PAGE_BYTES : SMALL_BYTES, p);
+	page_cut(f->conf, a->conf_version, a->after, admitted ? PAGE_BYTES : UNADMITTED_BYTES, p);
 	res->base = p->u.base;
 	res->conf_version = p->u.version;
 	res->full = p->u.full;
@@ -245,7 +245,7 @@
 	struct page p = {0};
 
 	page_put(f, a, rpc_request_conn(rq), &p, &res);
-	fleet_list_tell(f, a->vms_revision, &res);
+	fleet_list_write_changes(f, a->vms_revision, &res);
 	rpc_reply(rq, &res);
 	g_free(res.vms.vms_val);
 	g_free(res.entries.entries_val);
--- a/src/fleet-etcd.c
+++ b/src/fleet-etcd.c
@@ -1,4 +1,4 @@
-/** @file fleet-etcd.c The configuration and the list of VMs from etcd's gateway. */
+/** @file fleet-etcd.c Reads and watches the configuration and the list of VMs in etcd. */
 #include "fleet.h"
 
 #include "log.h"
@@ -8,13 +8,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Look at the watch, and whether this VM should have one. */
-#define CHECK_US (500 * USEC_PER_MSEC)
-/** A VM that watches compares what it has with the platform this often. */
-#define WATCH_CHECK_US (2 * USEC_PER_SEC)
-/** The others compare this often, against anything that heartbeats missed; it costs a few hundred
- * bytes. */
-#define OTHER_CHECK_US (30 * USEC_PER_SEC)
+/** Interval at which the watches, and whether this VM should have them, are checked. */
+#define CHECK_INTERVAL_US (500 * USEC_PER_MSEC)
+/** Interval at which a watching VM compares its versions with etcd's. */
+#define WATCHER_COMPARE_INTERVAL_US (2 * USEC_PER_SEC)
+/**
+ * Interval of the comparison on other VMs, in case heartbeats missed a change. It costs a few
+ * hundred bytes each.
+ */
+#define OTHER_COMPARE_INTERVAL_US (30 * USEC_PER_SEC)
 
 struct etcd_source {
 	struct fleet *f;
@@ -23,14 +25,14 @@
 	struct platform_watch *conf_watch;
 	struct platform_watch *vms_watch;
 	bool reading;
-	int64_t checked_us; /**< when the watches were last compared with what the platform has */
+	int64_t checked_us; /**< when the versions were last compared with etcd's */
 	int64_t read_us;
 	bool ever_read;
 };
 
 static struct etcd_source *source;
 
-/** The version in the head key's value; 0 when it has none. */
+/** Parses the version in the value of the key PLATFORM_HEAD; 0 if it has none. */
 static uint64_t head_version(const char *value)
 {
 	JsonParser *parser = json_parser_new();
@@ -44,7 +46,7 @@
 	return version;
 }
 
-/** An entry's value is its version, a space, and its text. */
+/** Parses an entry, whose value is its version, a space and its text. */
 static struct conf_entry *entry_from_kv(const struct platform_kv *kv, uint64_t version)
 {
 	const char *id = kv->key + strlen(PLATFORM_ENTRY);
@@ -98,7 +100,7 @@
 	update_from_kvs(a, &u);
 	u.base = u.version - 1;
 	if (u.version > 0)
-		fleet_take_conf(f, &u, "platform");
+		fleet_apply_conf(f, &u, "platform");
 	conf_update_clear(&u);
 }
 
@@ -114,7 +116,7 @@
 		const struct platform_kv *kv = g_ptr_array_index(a->kvs, i);
 
 		if (kv->value != NULL)
-			fleet_take_vms(arg, (uint64_t)kv->mod_revision, kv->value);
+			fleet_apply_vms(arg, (uint64_t)kv->mod_revision, kv->value);
 	}
 }
 
@@ -129,11 +131,11 @@
 		return;
 	}
 	source->ever_read = true;
-	f->news_us = now_us();
+	f->conf_confirmed_us = now_us();
 	update_from_kvs(a, &u);
 	u.full = true;
 	if (u.version > 0)
-		fleet_take_conf(f, &u, "platform");
+		fleet_apply_conf(f, &u, "platform");
 	conf_update_clear(&u);
 	if (source->conf_watch == NULL && fleet_is_watcher(f))
 		source->conf_watch =
@@ -150,7 +152,7 @@
 	if (a->kvs->len > 0) {
 		const struct platform_kv *kv = g_ptr_array_index(a->kvs, 0);
 
-		fleet_take_vms(f, (uint64_t)kv->mod_revision, kv->value);
+		fleet_apply_vms(f, (uint64_t)kv->mod_revision, kv->value);
 	}
 	if (source->vms_watch == NULL && fleet_is_watcher(f))
 		source->vms_watch = platform_watch(source->platform, PLATFORM_VMS, NULL,
@@ -167,8 +169,8 @@
 	source->vms_watch = NULL;
 }
 
-/** The watches have missed something: read all, and watch anew. */
-static void watches_missed(const char *what)
+/** Restarts the watches from a full read, since they missed a change. */
+static void watches_restart(const char *what)
 {
 	log_warn("watch-silent", LOG_STR("what", what));
 	watches_stop();
@@ -185,11 +187,11 @@
 	if (a->kvs->len > 0) {
 		kv = g_ptr_array_index(a->kvs, 0);
 		if (head_version(kv->value) > f->conf->version) {
-			watches_missed("conf");
+			watches_restart("conf");
 			return;
 		}
 	}
-	f->news_us = now_us();
+	f->conf_confirmed_us = now_us();
 }
 
 static void vms_checked(const struct platform_answer *a, void *arg)
@@ -201,15 +203,15 @@
 		return;
 	kv = g_ptr_array_index(a->kvs, 0);
 	if ((uint64_t)kv->mod_revision > f->peers.revision)
-		watches_missed("vms");
+		watches_restart("vms");
 }
 
 /**
- * A watch is one long answer; when something between the two ends loses track of its connection, it
- * falls silent without an error, and a withdrawn key would go on working here. A look at the head,
- * on a new connection, shows what it missed.
+ * Compares the versions in force with etcd's on a new connection. A watch is one long HTTP answer:
+ * if a device on the path drops the connection's state, it stops without an error, and a withdrawn
+ * key would keep working here.
  */
-static void source_compare(struct fleet *f, int64_t now, int64_t period_us)
+static void source_compare_versions(struct fleet *f, int64_t now, int64_t period_us)
 {
 	if (now - source->checked_us < period_us)
 		return;
@@ -218,7 +220,7 @@
 	platform_revision(source->platform, PLATFORM_VMS, vms_checked, f);
 }
 
-/** Read all, and watch from there if this VM is to watch. */
+/** Reads everything, and watches from there if this VM is a watcher. */
 static void source_check(evutil_socket_t fd, short what, void *arg)
 {
 	struct fleet *f = arg;
@@ -229,17 +231,18 @@
 	if (!watch)
 		watches_stop();
 	if (source->ever_read && (watching || !watch))
-		source_compare(f, now, watch ? WATCH_CHECK_US : OTHER_CHECK_US);
+		source_compare_versions(
+			f, now, watch ? WATCHER_COMPARE_INTERVAL_US : OTHER_COMPARE_INTERVAL_US);
 	if (source->reading || (source->read_us != 0 && source->ever_read && (watching || !watch)))
 		return;
-	fleet_ask_seed(f);
+	fleet_fetch_from_seed(f);
 	source->reading = true;
 	source->read_us = now;
 	platform_range(source->platform, PLATFORM_VMS, NULL, vms_read, f);
 	platform_range(source->platform, PLATFORM_CONF, PLATFORM_CONF_END, conf_read, f);
 }
 
-static void etcd_behind(struct fleet *f)
+static void etcd_resync(struct fleet *f)
 {
 	source->read_us = 0;
 }
@@ -253,7 +256,7 @@
 	source->f = f;
 	source->platform =
 		platform_create(k->base, set->platform, set->platforms, set->platform_timeout_ms);
-	source->check = kernel_every(k, CHECK_US, source_check, f);
+	source->check = kernel_every(k, CHECK_INTERVAL_US, source_check, f);
 	source_check(-1, 0, f);
 }
 
@@ -271,5 +274,5 @@
 const struct fleet_source_ops fleet_etcd_ops = {
 	.start = etcd_start,
 	.stop = etcd_stop,
-	.behind = etcd_behind,
+	.resync = etcd_resync,
 };
--- a/src/fleet-list.c
+++ b/src/fleet-list.c
@@ -1,7 +1,7 @@
 /**
  * @file fleet-list.c
- * The platform's list of VMs, with the fixed parts of rates that they hold. It is kept by entry, so
- * that peers tell each other only what changed.
+ * The platform's list of VMs, with the fixed parts of rates that they hold. It is stored per entry,
+ * so that peers send each other only the changed entries.
  */
 #include "fleet.h"
 
@@ -10,10 +10,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** An entry: a VM, or a part that one holds. */
+/** An entry of the list: a VM, or a fixed part of the rates that a VM holds. */
 struct list_item {
-	char *value;	   /**< as the platform has it; NULL when it is gone */
-	uint64_t revision; /**< of its last change */
+	char *value;	   /**< JSON text as in the platform; NULL if the entry was removed */
+	uint64_t revision; /**< of the entry's last change */
 	bool is_part;
 	bool leaving;
 	char name[NAME_SIZE];
@@ -21,8 +21,8 @@
 	char data_center[NAME_SIZE];
 	uint64_t incarnation;
 	uint64_t lease;
-	uint64_t era;	/**< of the store, that the VM was in when it listed itself */
-	unsigned index; /**< of a part */
+	uint64_t era;	/**< store era in which the VM listed itself */
+	unsigned index; /**< of the part, if @a is_part */
 };
 
 static void item_free(gpointer data)
@@ -63,7 +63,7 @@
 	g_strlcpy(item->data_center, text_of(o, "data_center"), sizeof(item->data_center));
 }
 
-/** Parse @a item's value. @return false for one that names no VM. */
+/** Parses @a item's value. @return false if it is malformed or has no name */
 static bool item_parse(struct list_item *item)
 {
 	JsonParser *parser = json_parser_new();
@@ -95,7 +95,7 @@
 	g_hash_table_replace(f->list, g_strdup(key), item);
 }
 
-void fleet_list_whole(struct fleet *f, GHashTable *named, uint64_t revision)
+void fleet_list_remove_unlisted(struct fleet *f, GHashTable *named, uint64_t revision)
 {
 	GHashTableIter iter;
 	gpointer key, value;
@@ -137,7 +137,7 @@
 	g_array_append_val(parts, p);
 }
 
-void fleet_list_in_force(struct fleet *f, uint64_t revision)
+void fleet_list_publish(struct fleet *f, uint64_t revision)
 {
 	GArray *listings = g_array_new(FALSE, TRUE, sizeof(struct vm_listing));
 	GArray *parts = g_array_new(FALSE, TRUE, sizeof(struct fleet_part));
@@ -165,13 +165,13 @@
 		log_info("vms", LOG_REVISION("revision", revision), LOG_NUM("count", listings->len),
 			 LOG_NUM("parts", parts->len));
 		fleet_members_changed(f);
-		fleet_beat(f);
+		fleet_send_heartbeats(f);
 	}
 	g_array_unref(listings);
 	g_array_unref(parts);
 }
 
-/** The key of an entry in a list that has none: its VM, or its part. */
+/** Builds the key of an entry from a list without keys. */
 static char *key_of(JsonObject *o)
 {
 	if (json_object_has_member(o, "part"))
@@ -180,7 +180,7 @@
 	return g_strdup_printf("vm/%s", text_of(o, "name"));
 }
 
-void fleet_take_vms(struct fleet *f, uint64_t revision, const char *text)
+void fleet_apply_vms(struct fleet *f, uint64_t revision, const char *text)
 {
 	GHashTable *named = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	JsonParser *parser = json_parser_new();
@@ -205,8 +205,8 @@
 		g_hash_table_add(named, key);
 		g_free(value);
 	}
-	fleet_list_whole(f, named, revision);
-	fleet_list_in_force(f, revision);
+	fleet_list_remove_unlisted(f, named, revision);
+	fleet_list_publish(f, revision);
 out:
 	g_hash_table_destroy(named);
 	g_object_unref(parser);
@@ -214,7 +214,7 @@
 
 /* Between peers */
 
-void fleet_list_tell(const struct fleet *f, uint64_t known, ml_conf_res *res)
+void fleet_list_write_changes(const struct fleet *f, uint64_t known, ml_conf_res *res)
 {
 	GHashTableIter iter;
 	gpointer key, value;
@@ -222,8 +222,7 @@
 	res->vms_revision = f->peers.revision;
 	if (f->peers.revision <= known)
 		return;
-	/* What was gone before this VM's knowledge began is not known here: the whole list tells.
-	 */
+	/* Removals before list_base are unknown here, so an older peer gets the full list. */
 	res->vms_base = known >= f->list_base ? known : 0;
 	res->vms.vms_val = g_new0(ml_vm_item, g_hash_table_size(f->list) + 1);
 	g_hash_table_iter_init(&iter, f->list);
@@ -240,12 +239,12 @@
 	}
 }
 
-void fleet_list_hear(struct fleet *f, const ml_conf_res *res)
+void fleet_list_apply_changes(struct fleet *f, const ml_conf_res *res)
 {
 	GHashTable *named;
 	u_int i;
 
-	/* Differences from what was asked from; if more is known since, they still apply. */
+	/* Changes since vms_base also apply to a list that was updated meanwhile. */
 	if (res->vms_revision <= f->peers.revision || res->vms_base > f->peers.revision)
 		return;
 	named = g_hash_table_new(g_str_hash, g_str_equal);
@@ -256,7 +255,7 @@
 		g_hash_table_add(named, item->key);
 	}
 	if (res->vms_base == 0)
-		fleet_list_whole(f, named, res->vms_revision);
+		fleet_list_remove_unlisted(f, named, res->vms_revision);
 	g_hash_table_destroy(named);
-	fleet_list_in_force(f, res->vms_revision);
+	fleet_list_publish(f, res->vms_revision);
 }
--- a/src/fleet-store-items.c
+++ b/src/fleet-store-items.c
@@ -1,7 +1,8 @@
 /**
  * @file fleet-store-items.c
- * From the store's items to what is in force: the operators' document and the backend servers'
- * entries become routes, pools, teams and keys, the VMs' keys the list of VMs.
+ * Builds the configuration and the list of VMs from the store's items: routes, pools, teams and
+ * keys from the operators' document and the backend servers' records, the list of VMs from the VMs'
+ * keys.
  */
 #include "fleet-store-source.h"
 
@@ -12,13 +13,13 @@
 #include <string.h>
 
 /**
- * A backend server's entry that vanished is kept for this long. Entries that lapse while the store
- * is away are written again within two seconds of its return; dropping them at once would replace
- * primaries that serve.
+ * Time for which a backend server stays in its pool after its record was removed. Records that
+ * expire during an outage of the store are written again within 2 s of its return; dropping their
+ * servers at once would replace healthy primaries.
  */
 #define LAPSED_KEEP_US (2300 * USEC_PER_MSEC)
-/** Versions within one revision of the store, for changes that time alone brings. */
-#define VERSION_STEPS 8
+/** Versions per store revision, for changes that only time causes, e.g. a dropped server. */
+#define VERSIONS_PER_REVISION 8
 
 void records_document_clear(struct records_document *d)
 {
@@ -29,7 +30,7 @@
 	memset(d, 0, sizeof(*d));
 }
 
-/* Pools out of the document and the servers */
+/* Pools from the document and the servers */
 
 static void add_member(struct conf_pool *pool, const struct server *s, const struct records_pool *r)
 {
@@ -47,7 +48,7 @@
 	m->cold = m->cold && r->cold_per_s > 0;
 }
 
-/** In order of names, so that all VMs write the same text. */
+/** Sorts servers by name, so that all VMs produce the same text for a pool. */
 static gint by_name(gconstpointer a, gconstpointer b)
 {
 	const struct server *const *x = a;
@@ -113,8 +114,8 @@
 	g_ptr_array_add(entries, table_entry_make(CONF_DOCUMENT, &d));
 }
 
-/** The entries that differ from what is in force, each with the new version. */
-static void differences(const struct conf *conf, GPtrArray *now, struct conf_update *u)
+/** Adds the entries that differ from those in force to @a u, with the new version. */
+static void add_differences(const struct conf *conf, GPtrArray *now, struct conf_update *u)
 {
 	GHashTable *named = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTableIter iter;
@@ -144,27 +145,28 @@
 	g_hash_table_destroy(named);
 }
 
-/** The first version of a revision, of the same era. */
-static uint64_t version_of(uint64_t revision)
+/** The lowest version of a store revision, in the same era. */
+static uint64_t first_version_of(uint64_t revision)
 {
-	return era_revision(era_of(revision), era_number(revision) * VERSION_STEPS);
+	return era_revision(era_of(revision), era_number(revision) * VERSIONS_PER_REVISION);
 }
 
 /**
- * The version for what is known now: above the one in force, if that is of the same revision. It
- * counts the operators' and the servers' keys alone: ours change whenever a VM comes or goes, and
- * every VM would fetch the same configuration under a newer number.
+ * Returns the version of the configuration to publish, above the one in force if that has the same
+ * revision. Only keys of operators and backend servers count: the daemons' keys change whenever a
+ * VM joins or leaves, and every VM would fetch the same configuration under a newer version.
  */
 static uint64_t next_version(const struct conf *conf)
 {
-	uint64_t version = version_of(MIN(store_source.changed, store_source.as_of));
+	uint64_t version =
+		first_version_of(MIN(store_source.conf_revision, store_source.synced_revision));
 
-	if (conf->version >= version && conf->version + 1 < version + VERSION_STEPS)
+	if (conf->version >= version && conf->version + 1 < version + VERSIONS_PER_REVISION)
 		version = conf->version + 1;
 	return version;
 }
 
-/** An evacuation that ended before this VM read the store is told as removed. */
+/** Adds a removed entry for an evacuation that may have ended without a peer noticing. */
 static void add_ended_evacuation(const char *data_center, uint64_t version, GPtrArray *entries)
 {
 	struct conf_entry *e;
@@ -180,12 +182,13 @@
 }
 
 /**
- * The first configuration of a process. Others that have the same document lack at most what the
- * servers changed since: they are told the pools, and not all routes, teams and keys again.
+ * Sets the versions of the entries in a process's first configuration. A peer with the same
+ * document can only lack later changes of servers, so it is sent the pools but not all routes,
+ * teams and keys again.
  */
-static void date_entries(struct conf_update *u)
+static void set_first_versions(struct conf_update *u)
 {
-	uint64_t document = version_of(store_source.document_revision);
+	uint64_t document = first_version_of(store_source.document_revision);
 	GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTableIter iter;
 	gpointer value;
@@ -216,8 +219,7 @@
 	guint i;
 
 	store_source.conf_changed = false;
-	/* A peer has told a newer state already; what the store tells next will show it here too.
-	 */
+	/* A newer state came from a peer already; the next answer of the store will include it. */
 	if (u.version <= f->conf->version || store_source.document.entries == NULL)
 		return;
 	u.entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
@@ -229,11 +231,11 @@
 	add_evacuations(now);
 	add_document(now);
 	u.full = f->conf->version == 0;
-	differences(f->conf, now, &u);
+	add_differences(f->conf, now, &u);
 	if (u.full)
-		date_entries(&u);
+		set_first_versions(&u);
 	if (u.entries->len > 0)
-		fleet_take_conf(f, &u, "store");
+		fleet_apply_conf(f, &u, "store");
 	g_ptr_array_unref(now);
 	conf_update_clear(&u);
 }
@@ -263,7 +265,7 @@
 
 /* Items */
 
-static void take_document(const struct store_item *item)
+static void apply_document(const struct store_item *item)
 {
 	struct records_document d;
 
@@ -295,15 +297,17 @@
 }
 
 /**
- * Whether @a r is what the same process of the server said before: the store, back from an older
- * copy, tells it until the server has written again. One that leaves would be used once more.
+ * Whether @a r is an outdated record of the same server process. After a restore from an older copy
+ * the store returns it until the server writes again; a server that is draining would be used
+ * again.
  */
-static bool is_former_entry(const struct records_server *known, const struct records_server *r)
+static bool is_outdated_record(const struct records_server *known, const struct records_server *r)
 {
-	return r->born != 0 && r->born == known->born && r->sequence < known->sequence;
+	return r->started_ms != 0 && r->started_ms == known->started_ms &&
+	       r->sequence < known->sequence;
 }
 
-static void take_server(const struct store_item *item)
+static void apply_server(const struct store_item *item)
 {
 	const char *id = item->key + strlen(store_source.records->servers_prefix);
 	struct records_server r;
@@ -319,7 +323,7 @@
 		return;
 	}
 	s = g_hash_table_lookup(store_source.servers, id);
-	if (s != NULL && is_former_entry(&s->record, &r)) {
+	if (s != NULL && is_outdated_record(&s->record, &r)) {
 		log_info("member-entry-older", LOG_STR("member", id),
 			 LOG_NUM("sequence", r.sequence), LOG_NUM("known", s->record.sequence),
 			 LOG_REVISION("revision", item->revision));
@@ -340,8 +344,8 @@
 	store_source.conf_changed = true;
 }
 
-/** The operators evacuate a data centre, or take that back. */
-static void take_evacuation(const struct store_item *item)
+/** Applies the start or the end of an evacuation by the operators. */
+static void apply_evacuation(const struct store_item *item)
 {
 	const char *data_center = item->key + strlen(store_source.records->evacuations_prefix);
 
@@ -382,7 +386,7 @@
 	g_free(item);
 }
 
-static void keep_pending(const struct store_item *item)
+static void queue_pending(const struct store_item *item)
 {
 	struct store_item *copy = g_new0(struct store_item, 1);
 
@@ -405,11 +409,11 @@
 		g_ptr_array_unref(pending);
 }
 
-void source_take(const struct store_item *item)
+void source_apply_item(const struct store_item *item)
 {
 	uint64_t *known = g_hash_table_lookup(store_source.known, item->key);
 
-	/* What is told twice, or late, changes nothing. */
+	/* Duplicate and outdated items are ignored. */
 	if (known != NULL && *known >= item->revision) {
 		if (*known > item->revision)
 			log_info("item-discarded", LOG_STR("key", item->key),
@@ -421,33 +425,33 @@
 	g_hash_table_replace(store_source.known, g_strdup(item->key),
 			     g_memdup2(&item->revision, sizeof(item->revision)));
 	if (strcmp(item->key, store_source.records->document_key) == 0) {
-		store_source.changed = MAX(store_source.changed, item->revision);
-		take_document(item);
+		store_source.conf_revision = MAX(store_source.conf_revision, item->revision);
+		apply_document(item);
 	} else if (g_str_has_prefix(item->key, store_source.records->servers_prefix)) {
-		store_source.changed = MAX(store_source.changed, item->revision);
-		take_server(item);
+		store_source.conf_revision = MAX(store_source.conf_revision, item->revision);
+		apply_server(item);
 	} else if (source_is_evacuation(item->key)) {
-		store_source.changed = MAX(store_source.changed, item->revision);
-		take_evacuation(item);
+		store_source.conf_revision = MAX(store_source.conf_revision, item->revision);
+		apply_evacuation(item);
 	} else if (g_str_has_prefix(item->key, FLEET_STORE_VMS) ||
 		   g_str_has_prefix(item->key, FLEET_STORE_PARTS)) {
 		fleet_list_put(store_source.f, item->key, item->value, item->revision);
 		store_source.vms_changed = true;
 	}
-	if (store_source.listed_all)
+	if (store_source.list_is_complete)
 		notify_listeners(item);
 	else
-		keep_pending(item);
+		queue_pending(item);
 }
 
 void source_publish(void)
 {
-	if (!store_source.listed_all)
+	if (!store_source.list_is_complete)
 		return;
-	store_source.f->news_us = now_us();
+	store_source.f->conf_confirmed_us = now_us();
 	if (store_source.vms_changed) {
 		store_source.vms_changed = false;
-		fleet_list_in_force(store_source.f, store_source.as_of);
+		fleet_list_publish(store_source.f, store_source.synced_revision);
 	}
 	if (store_source.conf_changed)
 		publish_conf();
--- a/src/fleet-store-lease.c
+++ b/src/fleet-store-lease.c
@@ -1,16 +1,16 @@
-/** @file fleet-store-lease.c The VM's lease, and its key under it. */
+/** @file fleet-store-lease.c This VM's lease, and its registration: a key under that lease. */
 #include "fleet-store-source.h"
 
 #include "log.h"
 
 #include <string.h>
 
-/** Renewals: at least nine and a half seconds of the lease are left when the store goes away. */
-#define LEASE_RENEW_US (2500 * USEC_PER_MSEC)
-/** After a call that failed: this at least, and a part of the time that is left of the lease. */
-#define LEASE_RETRY_US (500 * USEC_PER_MSEC)
-#define LEASE_RETRY_PART 4
-/** Writes a second of all VMs together that tell a new era. */
+/** Renewal interval; at least 9.5 s of the lease are left when an outage of the store begins. */
+#define LEASE_RENEW_INTERVAL_US (2500 * USEC_PER_MSEC)
+/** Delay after a failed call: a fraction of the remaining lease time, at least the minimum. */
+#define LEASE_RETRY_MIN_US (500 * USEC_PER_MSEC)
+#define LEASE_RETRY_DIVISOR 4
+/** Target rate at which all VMs together write their keys after a change of the era. */
 #define ERA_WRITES_PER_S 200
 
 int64_t fleet_store_lease_until_us(struct fleet *f)
@@ -34,7 +34,9 @@
 		return 0;
 	if (registration == fleet_store_registration(f))
 		return store_source.lease_until_us;
-	return registration == store_source.former_registration ? store_source.former_until_us : 0;
+	return registration == store_source.previous_registration
+		       ? store_source.previous_lease_until_us
+		       : 0;
 }
 
 bool fleet_store_renewed(void)
@@ -47,7 +49,7 @@
 	return store_source.lapses;
 }
 
-void fleet_store_on_era(fleet_store_caught_up cb, void *owner)
+void fleet_store_on_era(fleet_store_caught_up_cb cb, void *owner)
 {
 	store_source.caught_up = cb;
 	store_source.caught_up_owner = owner;
@@ -60,23 +62,24 @@
 
 int64_t source_lease_retry_us(int64_t left_us)
 {
-	return CLAMP(left_us / LEASE_RETRY_PART, LEASE_RETRY_US, LEASE_RENEW_US);
+	return CLAMP(left_us / LEASE_RETRY_DIVISOR, LEASE_RETRY_MIN_US, LEASE_RENEW_INTERVAL_US);
 }
 
 /**
- * What was known under the lease of the era before may be acted on until that lease ends: others
- * wait for this VM to tell the new era, or for as long.
+ * Saves the registration and the end of the lease of the previous era. State read under it may be
+ * acted on until that lease ends, since other VMs wait until this VM publishes the new era or the
+ * lease has expired.
  */
-static void keep_former(void)
+static void save_previous_registration(void)
 {
-	store_source.former_registration = fleet_store_registration(store_source.f);
-	store_source.former_until_us = store_source.lease_until_us;
+	store_source.previous_registration = fleet_store_registration(store_source.f);
+	store_source.previous_lease_until_us = store_source.lease_until_us;
 }
 
 static void lease_lost(const char *why)
 {
 	if (store_source.registered && store_source.era.now != store_source.lease_era)
-		keep_former();
+		save_previous_registration();
 	if (store_source.registered)
 		log_warn("lease-lost", LOG_NUM("lease", store_source.lease), LOG_STR("why", why));
 	store_source.lease = 0;
@@ -84,34 +87,35 @@
 	store_source.lease_next_us = 0;
 }
 
-static void registered(const struct store_answer *a, void *arg)
+static void on_registered(const struct store_answer *a, void *arg)
 {
 	store_source.lease_asked = false;
 	if (a->status == STORE_NO_LEASE) {
 		lease_lost("not-known");
 		return;
 	}
-	/* Writing the same key again is harmless, so a lost answer is just tried again. */
+	/* Writing the key is idempotent, so a write without an answer is retried. */
 	if (a->status != STORE_DONE) {
-		source_heard("register", false);
-		store_source.lease_next_us = now_us() + LEASE_RETRY_US;
+		source_set_reachable("register", false);
+		store_source.lease_next_us = now_us() + LEASE_RETRY_MIN_US;
 		return;
 	}
-	source_heard("register", true);
+	source_set_reachable("register", true);
 	store_source.published_era = store_source.publishing_era;
 	if (!store_source.registered)
 		store_source.registration++;
 	store_source.registered = true;
-	store_source.lease_next_us = store_source.lease_sent_us + LEASE_RENEW_US;
-	if (store_source.rewritten != NULL)
-		g_steal_pointer (&store_source.rewritten)();
+	store_source.lease_next_us = store_source.lease_sent_us + LEASE_RENEW_INTERVAL_US;
+	if (store_source.on_key_written != NULL)
+		g_steal_pointer (&store_source.on_key_written)();
 	log_info("lease-held", LOG_NUM("lease", store_source.lease),
 		 LOG_NUM("until_ms", (store_source.lease_until_us - now_us()) / USEC_PER_MSEC));
 }
 
 /**
- * The era that this VM's key tells. Others take it as the word that nothing goes on here by what a
- * former era told, and that all that the store has lost and this VM knows is written again.
+ * Returns the era to write into this VM's key. By publishing an era, a VM confirms to the others
+ * that it no longer acts on state of a previous era, and that it has written again what it knows
+ * and the store has lost.
  */
 static uint64_t era_to_publish(void)
 {
@@ -137,12 +141,12 @@
 
 	store_source.publishing_era = era;
 	store_source.lease_asked = true;
-	store_source.store->ops->commit(store_source.store, NULL, 0, &w, 1, registered, NULL);
+	store_source.store->ops->commit(store_source.store, NULL, 0, &w, 1, on_registered, NULL);
 	g_free(value);
 	g_free(key);
 }
 
-/** Pause before this VM tells a new era, so that all VMs do not write to the store at once. */
+/** Returns a random delay for the write of a new era, to spread the writes of all VMs. */
 static int64_t rewrite_delay_us(void)
 {
 	int64_t spread_us = (int64_t)store_source.f->n_listed * USEC_PER_SEC / ERA_WRITES_PER_S;
@@ -150,14 +154,14 @@
 	return spread_us > 0 ? (int64_t)(random_bits() % (uint64_t)spread_us) : 0;
 }
 
-static void lease_answered(const struct store_answer *a, void *arg)
+static void on_lease_answer(const struct store_answer *a, void *arg)
 {
 	store_source.lease_asked = false;
 	if (a->status == STORE_NO_LEASE) {
 		lease_lost("ended");
 		return;
 	}
-	source_heard("lease", a->status == STORE_DONE);
+	source_set_reachable("lease", a->status == STORE_DONE);
 	if (a->status != STORE_DONE) {
 		int64_t now = now_us();
 		int64_t left = store_source.registered ? store_source.lease_until_us - now : 0;
@@ -170,10 +174,10 @@
 	if (now_us() >= store_source.lease_until_us)
 		store_source.lapses++;
 	if (a->era != store_source.lease_era)
-		keep_former();
+		save_previous_registration();
 	store_source.lease_until_us =
 		store_source.lease_sent_us + (a->ttl_us > 0 ? MIN(a->ttl_us, LEASE_TTL_US) : 0);
-	store_source.lease_next_us = store_source.lease_sent_us + LEASE_RENEW_US;
+	store_source.lease_next_us = store_source.lease_sent_us + LEASE_RENEW_INTERVAL_US;
 	if (store_source.registered && a->era != store_source.lease_era) {
 		store_source.registration++;
 		store_source.rewrite_next_us = now_us() + rewrite_delay_us();
@@ -188,8 +192,8 @@
 	if (!store_source.registered || store_source.lease_asked ||
 	    now < store_source.rewrite_next_us)
 		return;
-	store_source.rewrite_next_us = now + LEASE_RETRY_US;
-	store_source.rewritten = then;
+	store_source.rewrite_next_us = now + LEASE_RETRY_MIN_US;
+	store_source.on_key_written = then;
 	register_vm();
 }
 
@@ -214,13 +218,13 @@
 	store_source.lease_sent_us = now;
 	if (store_source.lease == 0)
 		store_source.store->ops->lease_grant(store_source.store, LEASE_TTL_US,
-						     lease_answered, NULL);
+						     on_lease_answer, NULL);
 	else
 		store_source.store->ops->lease_renew(store_source.store, store_source.lease,
-						     lease_answered, NULL);
+						     on_lease_answer, NULL);
 }
 
-static void released(const struct store_answer *a, void *arg)
+static void on_released(const struct store_answer *a, void *arg)
 {
 	store_source.released = true;
 }
@@ -231,7 +235,8 @@
 		return store_source.released || store_source.lease == 0;
 	store_source.releasing = true;
 	store_source.registered = false;
-	log_info("lease-given-up", LOG_NUM("lease", store_source.lease));
-	store_source.store->ops->lease_end(store_source.store, store_source.lease, released, NULL);
+	log_info("lease-released", LOG_NUM("lease", store_source.lease));
+	store_source.store->ops->lease_end(store_source.store, store_source.lease, on_released,
+					   NULL);
 	return false;
 }
--- a/src/fleet-store-source.h
+++ b/src/fleet-store-source.h
@@ -1,6 +1,7 @@
 /**
  * @file fleet-store-source.h
- * What the parts of the fleet's store share: what is known of the store, its items and the lease.
+ * State shared by the files fleet-store*.c: the store's connection state, its items and the lease.
+ * Terms (era, registration) are explained in fleet-store.h.
  */
 #ifndef FLEET_STORE_SOURCE_H
 #define FLEET_STORE_SOURCE_H
@@ -10,9 +11,10 @@
 
 #define LISTENERS_MAX 4
 
+/** A backend server as last read from the store. */
 struct server {
 	struct records_server record;
-	bool lapsed;
+	bool lapsed; /**< its record was removed from the store */
 	int64_t lapsed_us;
 	uint64_t revision;
 };
@@ -27,18 +29,18 @@
 
 	struct era era;
 	uint64_t lease;
-	uint64_t lease_era;    /**< in which the lease was last granted or renewed */
-	uint64_t registration; /**< counts the times that this VM became listed */
-	/** The registration, and the end of the lease, of the era before. */
-	uint64_t former_registration;
-	int64_t former_until_us;
-	uint64_t published_era;	 /**< that its key tells */
-	uint64_t publishing_era; /**< of the write that is under way */
-	int64_t rewrite_next_us; /**< the key is not written again before */
-	uint64_t lapses;	 /**< leases of this VM that ended before the next one began */
-	fleet_store_caught_up caught_up; /**< may be NULL */
+	uint64_t lease_era;    /**< era in which the lease was last granted or renewed */
+	uint64_t registration; /**< number of times that this VM was registered */
+	/** Registration and end of the lease of the previous era. */
+	uint64_t previous_registration;
+	int64_t previous_lease_until_us;
+	uint64_t published_era;	 /**< era in this VM's key */
+	uint64_t publishing_era; /**< era in the write of the key that is in progress */
+	int64_t rewrite_next_us; /**< earliest time of the next write of the key */
+	uint64_t lapses; /**< number of times that this VM's lease expired before it was renewed */
+	fleet_store_caught_up_cb caught_up; /**< may be NULL */
 	void *caught_up_owner;
-	bool lease_asked; /**< a grant or a renewal is under way */
+	bool lease_asked; /**< a grant, a renewal or a write of the key is in progress */
 	bool registered;
 	bool releasing;
 	bool released;
@@ -46,32 +48,32 @@
 	int64_t lease_until_us;
 	int64_t lease_next_us;
 
-	unsigned n_lists;	/**< lists that were read to their end */
-	bool begun;		/**< one of them was new enough to go on from */
-	bool listed_all;	/**< everything was read; the watch goes on from there */
-	char *after;		/**< last key of the list's page before */
-	GHashTable *listed;	/**< keys that this list has told */
-	uint64_t list_revision; /**< of the list's first page */
+	unsigned n_lists;	 /**< complete lists read */
+	bool initial_list_done;	 /**< a list was read that has what the process needs to start */
+	bool list_is_complete;	 /**< the current list is complete; a watch continues from it */
+	char *last_listed_key;	 /**< last key of the previous page; NULL before the first */
+	GHashTable *listed_keys; /**< set of the keys in the current list */
+	uint64_t list_revision;	 /**< revision of the list's first page */
 	struct store_call *watch;
-	uint64_t as_of; /**< revision up to which all changes are known */
+	uint64_t synced_revision; /**< all changes up to this revision are applied */
 	bool reachable;
 	int64_t checked_us;
-	int64_t own_news_us; /**< last pause after news of our own keys */
+	int64_t watch_delay_us; /**< last delay between two watches, see watch_next_delay_us() */
 
-	GPtrArray *pending;    /**< items of a list that is not in force yet, for the listeners */
-	GHashTable *known;     /**< key to revision (uint64_t *), of all that was told */
+	GPtrArray *pending;    /**< items of an incomplete list; listeners are notified later */
+	GHashTable *known;     /**< key to revision (uint64_t *) of all keys received */
 	GHashTable *servers;   /**< id to struct server */
-	GHashTable *evacuated; /**< names of data centres */
+	GHashTable *evacuated; /**< set of the names of evacuated data centres */
 	struct records_document document;
 	uint64_t document_revision;
-	uint64_t changed; /**< newest revision of the operators' document and the servers */
+	uint64_t conf_revision; /**< newest revision of the keys of operators and backend servers */
 	bool conf_changed;
 	bool vms_changed;
-	bool keeps;		 /**< keys that the present era lacks still count */
-	void (*rewritten)(void); /**< to be called once this VM's key is written; NULL: nothing */
+	bool keeps_lost_keys;	      /**< keys that were lost in a restore are still in force */
+	void (*on_key_written)(void); /**< called once this VM's key is written; may be NULL */
 	struct {
 		const char *prefix;
-		fleet_store_news cb;
+		fleet_store_item_cb cb;
 		void *owner;
 	} listeners[LISTENERS_MAX];
 	unsigned n_listeners;
@@ -81,34 +83,34 @@
 
 /* fleet-store.c */
 
-/** A call has ended; @a ok: the store answered. */
-void source_heard(const char *call, bool ok);
+/** Records whether the store answered the call named @a call, and logs a change. */
+void source_set_reachable(const char *call, bool ok);
 
 /* fleet-store-items.c */
 
 bool source_is_evacuation(const char *key);
-/** Take in what the store tells of a key. */
-void source_take(const struct store_item *item);
-/** Put what is known in force, when all was read. */
+/** Applies an item received from the store, unless it is outdated. */
+void source_apply_item(const struct store_item *item);
+/** Puts the received configuration and list of VMs in force, if the list is complete. */
 void source_publish(void);
-/** Tell the listeners of a list's items, now that the groups that these belong to are known. */
+/** Notifies the listeners of a list's items, once the groups that these refer to are configured. */
 void source_notify_pending(void);
-/** Drop backend servers whose entries have been gone for long enough. */
+/** Drops backend servers whose records were removed at least LAPSED_KEEP_US ago. */
 void source_drop_lapsed(int64_t now);
 
 /* fleet-store-lease.c */
 
-/** Length of a VM's lease; it has to outlast the longest outage of the store. */
+/** Length of a VM's lease; it must exceed the longest outage of the store. */
 #define LEASE_TTL_US (12 * USEC_PER_SEC)
 
-/** Pause after a call for the lease failed, with @a left_us of it left. */
+/** Returns the delay after a failed lease call when @a left_us of the lease are left. */
 int64_t source_lease_retry_us(int64_t left_us);
 /**
- * Write this VM's key again, and call @a then: a list that follows is of a later revision, which
- * peers need to tell it from the one before.
+ * Writes this VM's key again, unless a call is in progress, and calls @a then afterwards. The write
+ * raises the store's revision, so that peers take a list read in @a then for a newer one.
  */
 void source_rewrite_key(int64_t now, void (*then)(void));
-/** Ask for the lease, or renew it, when that is due. */
+/** Requests or renews the lease, or writes the key, when it is due. */
 void source_lease_tick(int64_t now);
 
 #endif
--- a/src/fleet-store.c
+++ b/src/fleet-store.c
@@ -1,8 +1,9 @@
 /**
  * @file fleet-store.c
- * Configuration and list of VMs from a store with leases. Each VM lists itself under a lease; the
- * operators' document and the backend servers' entries are put together to routes, pools, teams and
- * keys. Versions are the store's revisions, so that all VMs number the same state alike.
+ * Reads and watches the configuration and the list of VMs in a store with leases. Each VM registers
+ * itself under a lease. The operators' document and the backend servers' records are combined into
+ * routes, pools, teams and keys. Versions are derived from the store's revisions, so that all VMs
+ * give the same state the same version.
  */
 #include "fleet-store-source.h"
 
@@ -11,27 +12,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** One wait of a watch; a connection that went silent is found after it. */
+/** Wait of one watch call; a connection that stopped answering is detected after it. */
 #define WATCH_WAIT_US (4500 * USEC_PER_MSEC)
-/** Pause before a failed read or watch is tried again, doubled up to the last. */
+/** Delay before a failed read or watch is retried, doubled each time up to the maximum. */
 #define RETRY_MIN_US (50 * USEC_PER_MSEC)
 #define RETRY_MAX_US (300 * USEC_PER_MSEC)
 /**
- * Pause of a watch after news of our own keys, to be told of several at once: the first, doubled up
- * to the last while they keep coming. A change of the configuration waits so much longer at most.
+ * Delay before the next watch after one that returned only the daemons' own keys, so that one call
+ * returns several of their changes. It starts at the first value and doubles up to the maximum
+ * while such changes continue. It also delays a change of the configuration by at most that
+ * maximum.
  */
-#define OWN_NEWS_PAUSE_US (150 * USEC_PER_MSEC)
-#define OWN_NEWS_PAUSE_MAX_US (600 * USEC_PER_MSEC)
-/** A watch that waited for so long heard of something new, not of the same stir. */
-#define OWN_NEWS_CALM_US (1 * USEC_PER_SEC)
-/** A VM that is not a watcher compares its versions with the store this often; heartbeats tell it
- * too. */
-#define OTHER_CHECK_US (60 * USEC_PER_SEC)
+#define OWN_CHANGE_DELAY_US (150 * USEC_PER_MSEC)
+#define OWN_CHANGE_DELAY_MAX_US (600 * USEC_PER_MSEC)
+/** After a watch that took longer than this, the delay starts at its first value again. */
+#define OWN_CHANGE_RESET_US (1 * USEC_PER_SEC)
+/** Interval at which a VM that is not a watcher lists the store, besides heartbeats. */
+#define RELIST_INTERVAL_US (60 * USEC_PER_SEC)
 #define TICK_US (100 * USEC_PER_MSEC)
-/** Pause before all keys are read again, since what a process needs to begin was not among them. */
-#define LIST_AGAIN_PAUSE_US (300 * USEC_PER_MSEC)
-/** Lists that are read again for that. They may be stale, but for the last one. */
-#define LISTS_AGAIN 5
+/** Delay before the initial list is read again because it was too old to start from. */
+#define INITIAL_LIST_DELAY_US (300 * USEC_PER_MSEC)
+/** Retries of the initial list; all but the last one may be stale reads. */
+#define INITIAL_LIST_RETRIES 5
 
 struct store_source store_source;
 
@@ -45,7 +47,7 @@
 	return store_source.store;
 }
 
-void fleet_store_listen(struct fleet *f, const char *prefix, fleet_store_news cb, void *owner)
+void fleet_store_listen(struct fleet *f, const char *prefix, fleet_store_item_cb cb, void *owner)
 {
 	unsigned i = 0;
 
@@ -59,14 +61,14 @@
 	store_source.n_listeners = MAX(store_source.n_listeners, i + 1);
 }
 
-/* The store comes and goes */
+/* Reachability and era of the store */
 
-void source_heard(const char *call, bool ok)
+void source_set_reachable(const char *call, bool ok)
 {
 	if (ok == store_source.reachable)
 		return;
 	store_source.reachable = ok;
-	/* A VM that started while the store was away serves nobody before it has a lease. */
+	/* A VM that started during an outage cannot serve before it has a lease: request it now. */
 	if (ok && !store_source.registered)
 		store_source.lease_next_us = 0;
 	if (ok)
@@ -77,25 +79,25 @@
 				 (store_source.lease_until_us - now_us()) / USEC_PER_MSEC));
 }
 
-/** Read all keys, in place of a watch that is under way. */
-static void list_anew(void)
+/** Cancels the watch and lists all keys again. */
+static void relist(void)
 {
 	if (store_source.watch != NULL)
 		store_source.store->ops->cancel(store_source.watch);
 	store_source.watch = NULL;
-	if (store_source.listed_all)
+	if (store_source.list_is_complete)
 		list_begin();
 }
 
 /**
- * The store has come back from an older copy: what it holds now is read anew, by those that watch
- * it. The others hear from them.
+ * Handles a restore of the store from an older copy: renews the lease and, on a watcher, lists all
+ * keys again. The other VMs get the result from the watchers.
  */
-static void era_begins(void)
+static void on_restore(void)
 {
 	store_source.lease_next_us = 0;
 	if (fleet_is_watcher(store_source.f))
-		list_anew();
+		relist();
 }
 
 static void on_store_era(uint64_t era, void *arg)
@@ -105,8 +107,8 @@
 	if (!era_observe(&store_source.era, era, now_us()))
 		return;
 	log_warn("store-era", LOG_NUM("era", era), LOG_NUM("before", before),
-		 LOG_NUM("as_of", era_number(store_source.as_of)));
-	era_begins();
+		 LOG_NUM("as_of", era_number(store_source.synced_revision)));
+	on_restore();
 }
 
 bool fleet_store_is_current(uint64_t revision)
@@ -128,36 +130,37 @@
 /* Lists */
 
 /**
- * Whether a key that the store has lost counts for a lease's length more: VMs, and parts that they
- * hold, may go on for so long, and the operators write their evacuations again.
+ * Whether a key that was lost in a restore stays in force for the length of a lease. VMs, and the
+ * parts that they hold, may remain active for that long, and operators need time to write
+ * evacuations again.
  */
-static bool is_kept(const char *key)
+static bool survives_restore(const char *key)
 {
 	return g_str_has_prefix(key, FLEET_STORE_VMS) || g_str_has_prefix(key, FLEET_STORE_PARTS) ||
 	       source_is_evacuation(key);
 }
 
-/** Keys of a list that were known and are not told any more are gone. */
+/** Removes the known keys that a complete list does not have any more. */
 static void drop_unlisted(uint64_t revision)
 {
 	bool settled = era_settled(&store_source.era, 0, LEASE_TTL_US, now_us());
 	GList *keys = g_hash_table_get_keys(store_source.known);
 	GList *l;
 
-	store_source.keeps = false;
+	store_source.keeps_lost_keys = false;
 
 	for (l = keys; l != NULL; l = l->next) {
 		struct store_item gone = {.revision = revision};
 
-		if (g_hash_table_contains(store_source.listed, l->data))
+		if (g_hash_table_contains(store_source.listed_keys, l->data))
 			continue;
-		if (!settled && is_kept(l->data)) {
-			store_source.keeps = true;
-			g_hash_table_add(store_source.listed, g_strdup(l->data));
+		if (!settled && survives_restore(l->data)) {
+			store_source.keeps_lost_keys = true;
+			g_hash_table_add(store_source.listed_keys, g_strdup(l->data));
 			continue;
 		}
 		gone.key = g_strdup(l->data);
-		source_take(&gone);
+		source_apply_item(&gone);
 		g_hash_table_remove(store_source.known, gone.key);
 		g_free(gone.key);
 	}
@@ -165,60 +168,62 @@
 }
 
 /**
- * A list from before this VM's own entry lacks those of the others that start with it: each of them
- * would take itself for a watcher, and claim parts. Without a configuration all of them would fetch
- * it from a few.
+ * Whether the list is too old to start from. A list without this VM's key also lacks the VMs that
+ * start at the same time: each of them would rank itself as a watcher and claim parts. Without a
+ * configuration, all of them would fetch it from a few peers.
  */
-static bool lacks_a_beginning(void)
+static bool list_is_too_old(void)
 {
 	const struct fleet *f = store_source.f;
 
 	return !f->self_listed || f->conf->version == 0;
 }
 
-static void list_whole(void)
+static void list_complete(void)
 {
 	log_info("listed", LOG_REVISION("revision", store_source.list_revision),
-		 LOG_NUM("known", era_number(store_source.as_of)),
-		 LOG_NUM("keys", g_hash_table_size(store_source.listed)));
+		 LOG_NUM("known", era_number(store_source.synced_revision)),
+		 LOG_NUM("keys", g_hash_table_size(store_source.listed_keys)));
 	drop_unlisted(store_source.list_revision);
-	fleet_list_whole(store_source.f, store_source.listed, store_source.list_revision);
-	g_hash_table_remove_all(store_source.listed);
-	g_clear_pointer(&store_source.after, g_free);
-	store_source.listed_all = true;
+	fleet_list_remove_unlisted(store_source.f, store_source.listed_keys,
+				   store_source.list_revision);
+	g_hash_table_remove_all(store_source.listed_keys);
+	g_clear_pointer(&store_source.last_listed_key, g_free);
+	store_source.list_is_complete = true;
 	/*
-	 * The pages are not of one moment. What changed between the first and the last is told
-	 * again by the watch, which goes on from the first.
+	 * The pages of a list are read at different revisions. The watch continues from the first
+	 * page's revision, so it returns all changes made while the others were read.
 	 */
-	store_source.as_of = store_source.list_revision;
+	store_source.synced_revision = store_source.list_revision;
 	store_source.vms_changed = true;
 	store_source.conf_changed = true;
 	store_source.n_lists++;
 	source_publish();
-	if (!store_source.begun && store_source.f->oldest_era < store_source.era.now)
+	if (!store_source.initial_list_done && store_source.f->oldest_era < store_source.era.now)
 		era_unsettle(&store_source.era, now_us());
 	source_notify_pending();
-	if (!store_source.begun && lacks_a_beginning() && store_source.n_lists <= LISTS_AGAIN) {
+	if (!store_source.initial_list_done && list_is_too_old() &&
+	    store_source.n_lists <= INITIAL_LIST_RETRIES) {
 		list_reset();
-		kernel_arm(store_source.retry, LIST_AGAIN_PAUSE_US);
+		kernel_arm(store_source.retry, INITIAL_LIST_DELAY_US);
 		return;
 	}
-	store_source.begun = true;
+	store_source.initial_list_done = true;
 	watch_start();
 }
 
-static void listed(const struct store_answer *a, void *arg)
+static void on_list_page(const struct store_answer *a, void *arg)
 {
 	guint i;
 
-	source_heard("list", a->status == STORE_DONE);
+	source_set_reachable("list", a->status == STORE_DONE);
 	if (a->status != STORE_DONE) {
-		fleet_ask_seed(store_source.f);
+		fleet_fetch_from_seed(store_source.f);
 		retry_later();
 		return;
 	}
 	store_source.retry_us = 0;
-	if (store_source.after == NULL)
+	if (store_source.last_listed_key == NULL)
 		store_source.list_revision = a->revision;
 	if (era_of(a->revision) != era_of(store_source.list_revision)) {
 		list_begin();
@@ -227,39 +232,40 @@
 	for (i = 0; i < a->items->len; i++) {
 		const struct store_item *item = g_ptr_array_index(a->items, i);
 
-		g_hash_table_add(store_source.listed, g_strdup(item->key));
-		source_take(item);
+		g_hash_table_add(store_source.listed_keys, g_strdup(item->key));
+		source_apply_item(item);
 	}
 	if (a->more && a->items->len > 0) {
 		const struct store_item *last = g_ptr_array_index(a->items, a->items->len - 1);
 
-		g_free(store_source.after);
-		store_source.after = g_strdup(last->key);
+		g_free(store_source.last_listed_key);
+		store_source.last_listed_key = g_strdup(last->key);
 		list_next();
 		return;
 	}
-	list_whole();
+	list_complete();
 }
 
 static void list_next(void)
 {
-	bool again = !store_source.begun && store_source.n_lists > 0;
+	bool again = !store_source.initial_list_done && store_source.n_lists > 0;
 
 	/*
-	 * All keys at once: one call where three prefixes were three. The first one may not be
-	 * stale: VMs that begin with an old configuration, beside others with the new one and
-	 * without its history, fetch all of it from each other.
+	 * Lists all keys, which takes one call instead of one for each of three prefixes. The first
+	 * list may not be stale: VMs that start with an old configuration fetch the full new one
+	 * from peers that started with it and so cannot compute the difference.
 	 */
-	store_source.store->ops->list(store_source.store, "",
-				      store_source.after != NULL ? store_source.after : "",
-				      again && store_source.n_lists < LISTS_AGAIN, listed, NULL);
+	store_source.store->ops->list(
+		store_source.store, "",
+		store_source.last_listed_key != NULL ? store_source.last_listed_key : "",
+		again && store_source.n_lists < INITIAL_LIST_RETRIES, on_list_page, NULL);
 }
 
 static void list_reset(void)
 {
-	store_source.listed_all = false;
-	g_hash_table_remove_all(store_source.listed);
-	g_clear_pointer(&store_source.after, g_free);
+	store_source.list_is_complete = false;
+	g_hash_table_remove_all(store_source.listed_keys);
+	g_clear_pointer(&store_source.last_listed_key, g_free);
 }
 
 static void list_begin(void)
@@ -271,8 +277,8 @@
 
 /* The watch */
 
-/** Whether a watch told of keys of ours alone: VMs that come and go, and groups' records. */
-static bool only_own_news(const struct store_answer *a)
+/** Whether a watch returned only keys that the daemons write, such as VMs' and groups' keys. */
+static bool only_own_changes(const struct store_answer *a)
 {
 	guint i;
 
@@ -286,35 +292,34 @@
 }
 
 /**
- * VMs that start together list themselves one after the other, and each watcher would be told of
- * each in a call of its own.
+ * Returns the delay before the next watch. VMs that start together register one after the other;
+ * without a delay, each watcher would need one call per VM.
  */
-static int64_t own_news_pause_us(void)
+static int64_t watch_next_delay_us(void)
 {
-	if (now_us() - store_source.checked_us > OWN_NEWS_CALM_US)
-		store_source.own_news_us = 0;
-	store_source.own_news_us =
-		CLAMP(store_source.own_news_us * 2, OWN_NEWS_PAUSE_US, OWN_NEWS_PAUSE_MAX_US);
-	return store_source.own_news_us;
+	if (now_us() - store_source.checked_us > OWN_CHANGE_RESET_US)
+		store_source.watch_delay_us = 0;
+	store_source.watch_delay_us = CLAMP(store_source.watch_delay_us * 2, OWN_CHANGE_DELAY_US,
+					    OWN_CHANGE_DELAY_MAX_US);
+	return store_source.watch_delay_us;
 }
 
-static void watched(const struct store_answer *a, void *arg)
+static void on_watch_answer(const struct store_answer *a, void *arg)
 {
 	guint i;
 
 	store_source.watch = NULL;
 	if (a->status == STORE_COMPACTED) {
-		log_info("watch-compacted", LOG_REVISION("after", store_source.as_of));
+		log_info("watch-compacted", LOG_REVISION("after", store_source.synced_revision));
 		list_begin();
 		return;
 	}
-	source_heard("watch", a->status == STORE_DONE);
+	source_set_reachable("watch", a->status == STORE_DONE);
 	if (a->status != STORE_DONE) {
 		/*
-		 * A watch that breaks may have missed changes, and the one that goes on from there
-		 * may wait to its end before it tells that the history is gone: a key that was
-		 * taken away would work for seconds more. Reading what there is now needs no
-		 * history.
+		 * A failed watch may have missed changes. A new watch from the same revision may
+		 * report only at the end of its wait that the history was compacted, and a
+		 * withdrawn key would work for seconds more. A list needs no history.
 		 */
 		list_reset();
 		retry_later();
@@ -322,12 +327,12 @@
 	}
 	store_source.retry_us = 0;
 	for (i = 0; i < a->items->len; i++)
-		source_take(g_ptr_array_index(a->items, i));
-	if (a->revision > store_source.as_of)
-		store_source.as_of = a->revision;
+		source_apply_item(g_ptr_array_index(a->items, i));
+	if (a->revision > store_source.synced_revision)
+		store_source.synced_revision = a->revision;
 	source_publish();
-	if (only_own_news(a))
-		kernel_arm(store_source.retry, own_news_pause_us());
+	if (only_own_changes(a))
+		kernel_arm(store_source.retry, watch_next_delay_us());
 	else
 		watch_start();
 }
@@ -336,24 +341,25 @@
 {
 	if (store_source.watch != NULL || !fleet_is_watcher(store_source.f))
 		return;
-	if (!fleet_store_is_current(store_source.as_of)) {
+	if (!fleet_store_is_current(store_source.synced_revision)) {
 		list_begin();
 		return;
 	}
 	store_source.checked_us = now_us();
-	store_source.watch = store_source.store->ops->watch(
-		store_source.store, "", store_source.as_of, WATCH_WAIT_US, watched, NULL);
+	store_source.watch =
+		store_source.store->ops->watch(store_source.store, "", store_source.synced_revision,
+					       WATCH_WAIT_US, on_watch_answer, NULL);
 }
 
 static void on_retry(evutil_socket_t fd, short what, void *arg)
 {
-	if (!store_source.listed_all)
+	if (!store_source.list_is_complete)
 		list_next();
 	else
 		watch_start();
 }
 
-/* Time */
+/* Timer and source operations */
 
 static void on_tick(evutil_socket_t fd, short what, void *arg)
 {
@@ -361,22 +367,22 @@
 
 	source_lease_tick(now);
 	source_drop_lapsed(now);
-	if (store_source.keeps && era_settled(&store_source.era, 0, LEASE_TTL_US, now))
-		source_rewrite_key(now, list_anew);
-	if (!store_source.listed_all || store_source.watch != NULL ||
+	if (store_source.keeps_lost_keys && era_settled(&store_source.era, 0, LEASE_TTL_US, now))
+		source_rewrite_key(now, relist);
+	if (!store_source.list_is_complete || store_source.watch != NULL ||
 	    event_pending(store_source.retry, EV_TIMEOUT, NULL))
 		return;
 	if (fleet_is_watcher(store_source.f))
 		watch_start();
-	else if (now - store_source.checked_us > OTHER_CHECK_US) {
+	else if (now - store_source.checked_us > RELIST_INTERVAL_US) {
 		store_source.checked_us = now;
 		list_begin();
 	}
 }
 
-static void store_behind(struct fleet *f)
+static void store_resync(struct fleet *f)
 {
-	if (store_source.listed_all && store_source.watch == NULL)
+	if (store_source.list_is_complete && store_source.watch == NULL)
 		list_begin();
 }
 
@@ -393,7 +399,7 @@
 	store_source.known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	store_source.servers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	store_source.evacuated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	store_source.listed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	store_source.listed_keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	store_source.retry = event_new(k->base, -1, 0, on_retry, NULL);
 	store_source.tick = kernel_every(k, TICK_US, on_tick, NULL);
 	store_source.reachable = true;
@@ -412,9 +418,9 @@
 	g_hash_table_destroy(store_source.known);
 	g_hash_table_destroy(store_source.servers);
 	g_hash_table_destroy(store_source.evacuated);
-	g_hash_table_destroy(store_source.listed);
+	g_hash_table_destroy(store_source.listed_keys);
 	g_clear_pointer(&store_source.pending, g_ptr_array_unref);
-	g_free(store_source.after);
+	g_free(store_source.last_listed_key);
 	store_source.store->ops->free(store_source.store);
 	store_source.store = NULL;
 }
@@ -436,6 +442,6 @@
 	.listed = store_listed,
 	.start = store_start,
 	.stop = store_stop,
-	.behind = store_behind,
+	.resync = store_resync,
 	.json = store_json,
 };
--- a/src/fleet-store.h
+++ b/src/fleet-store.h
@@ -1,6 +1,9 @@
 /**
  * @file fleet-store.h
- * The store as the fleet uses it: this VM's lease, and news of keys that others keep there.
+ * The fleet's use of the store: this VM's lease and registration, and notification of changed keys.
+ * A VM is registered while its key exists under its lease; the lease ends if it is not renewed. The
+ * era counts how often the store was restored from an older copy (era.h): after a restore the store
+ * may lack recent leases and keys, so a lease of the previous era is trusted until it expires.
  */
 #ifndef FLEET_STORE_H
 #define FLEET_STORE_H
@@ -8,51 +11,51 @@
 #include "fleet.h"
 #include "store.h"
 
-/** All keys of ours begin with this. */
+/** Prefix of all keys that the daemons write. */
 #define FLEET_STORE_PREFIX "mangoloom/"
-/** One key a VM, under its lease. */
+/** Prefix of the VMs' keys; each VM writes one under its lease. */
 #define FLEET_STORE_VMS FLEET_STORE_PREFIX "vm/"
-/** One key for each fixed part of the rates (parts.h) that a VM holds, under that VM's lease. */
+/** Prefix of fixed parts of the rates (parts.h), each under the lease of the VM that holds it. */
 #define FLEET_STORE_PARTS FLEET_STORE_PREFIX "part/"
 
-/** A key changed, or was read for the first time; its value is NULL when it is gone. */
-typedef void (*fleet_store_news)(const struct store_item *item, void *owner);
+/** Called when a key changed or was first read; its value is NULL if it was removed. */
+typedef void (*fleet_store_item_cb)(const struct store_item *item, void *owner);
 
-/** Whether nothing is done or known by what a former era of the store told. */
-typedef bool (*fleet_store_caught_up)(void *owner);
+/** Whether nothing in this process depends on state read in a previous era any more. */
+typedef bool (*fleet_store_caught_up_cb)(void *owner);
 
 struct store *fleet_store(struct fleet *f);
-/** Hear of keys that begin with @a prefix, which is one of FLEET_STORE_PREFIX. */
-void fleet_store_listen(struct fleet *f, const char *prefix, fleet_store_news cb, void *owner);
+/** Calls @a cb for each change of a key under @a prefix, which is within FLEET_STORE_PREFIX. */
+void fleet_store_listen(struct fleet *f, const char *prefix, fleet_store_item_cb cb, void *owner);
 /**
- * Until when this VM surely holds its lease, in now_us() time; 0 when it has none. The time counts
- * from before the renewal was sent, so the store ends the lease later than that.
+ * Time, in now_us() time, until which this VM certainly holds its lease; 0 without one. It counts
+ * from before the renewal was sent, so the store ends the lease later.
  */
 int64_t fleet_store_lease_until_us(struct fleet *f);
-/** Whether @a revision is of the store's present era, so that a write may be guarded by it. */
+/** Whether @a revision is 0 or of the store's current era, so that it may guard a write. */
 bool fleet_store_is_current(uint64_t revision);
-/** The lease itself; 0 when this VM is not listed under one. */
+/** The id of this VM's lease; 0 if it is not registered. */
 uint64_t fleet_store_lease(struct fleet *f);
-/** How often this VM became listed, in a new era too; 0 when it is not. */
+/** Number of the current registration, which rises with each new era too; 0 if not registered. */
 uint64_t fleet_store_registration(struct fleet *f);
 /**
- * Until when what was read under @a registration may be acted on; 0 for no longer. In a new era
- * that is to the end of the former lease, unless it is read again.
+ * Time until which state read under @a registration may be acted on; 0: not any more. State of the
+ * previous era that was not read again may be acted on until the lease of that era ends.
  */
 int64_t fleet_store_trusted_until_us(struct fleet *f, uint64_t registration);
-/** Whether this VM's lease was granted or renewed in the present era. */
+/** Whether this VM's lease was granted or renewed in the current era. */
 bool fleet_store_renewed(void);
-/** How often this VM's lease ended before it was renewed. */
+/** Number of times that this VM's lease expired before it was renewed. */
 uint64_t fleet_store_lapses(void);
-/** This VM tells others that it is in a new era once @a cb says so. */
-void fleet_store_on_era(fleet_store_caught_up cb, void *owner);
-/** Era of the store in which this VM's lease was last granted or renewed. */
+/** Sets the callback that must return true before this VM publishes a new era in its key. */
+void fleet_store_on_era(fleet_store_caught_up_cb cb, void *owner);
+/** Store era in which this VM's lease was last granted or renewed. */
 uint64_t fleet_store_lease_era(void);
-/** Whether no VM can still trust a lease of a former era of the store. */
+/** Whether no VM can still trust a lease of a previous era. */
 bool fleet_store_settled(struct fleet *f);
-/** Give the lease up, for a VM that has stopped sending. @return whether it is given up */
+/** Ends the lease of a VM that has stopped sending statements. @return true once it has ended */
 bool fleet_store_release(struct fleet *f);
-/** The VM that the key's value names, and its process. @return false for a malformed value. */
+/** Parses a VM's key: its name and the incarnation of its process. @return false if malformed */
 bool fleet_store_vm_parse(const char *value, char name[NAME_SIZE], uint64_t *incarnation);
 
 #endif
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -1,4 +1,4 @@
-/** @file fleet.c Membership: heartbeats between the daemons, and who holds which role. */
+/** @file fleet.c Membership: heartbeats between the daemons, and which VM holds which role. */
 #include "fleet.h"
 
 #include "log.h"
@@ -30,7 +30,7 @@
 		f->listeners[i].cb(f->listeners[i].owner);
 }
 
-bool fleet_lists(const struct fleet *f, const char *data_center)
+bool fleet_has_listed_vm(const struct fleet *f, const char *data_center)
 {
 	unsigned i;
 
@@ -46,8 +46,8 @@
 	return strcmp(a, b);
 }
 
-/** Count the listed VMs, and note the data centres that have one. */
-static void listed_look(struct fleet *f)
+/** Counts the listed VMs and collects their data centres. */
+static void count_listed(struct fleet *f)
 {
 	const struct vm *vm;
 
@@ -59,40 +59,41 @@
 			continue;
 		f->n_listed++;
 		f->n_left += vm->left ? 1 : 0;
-		if (f->n_data_centers < FLEET_DCS_MAX && !fleet_lists(f, vm->data_center))
+		if (f->n_data_centers < FLEET_DATA_CENTERS_MAX &&
+		    !fleet_has_listed_vm(f, vm->data_center))
 			g_strlcpy(f->data_center[f->n_data_centers++], vm->data_center, NAME_SIZE);
 	}
 	qsort(f->data_center, f->n_data_centers, NAME_SIZE, by_name);
 }
 
-/** Who holds a role, and the data centre that it is held near to; "" for none. */
+/** Cached holder of a role, and the data centre that is preferred for it; "" for none. */
 struct role_holder {
 	struct vm *vm;
 	char data_center[NAME_SIZE];
 };
 
-static bool is_near(const struct vm *vm, const struct role_holder *h)
+static bool is_preferred(const struct vm *vm, const struct role_holder *h)
 {
 	return h->data_center[0] != '\0' && strcmp(vm->data_center, h->data_center) == 0;
 }
 
-/** Whether @a vm_arg, which is not usable any more, holds the role. */
+/** Whether @a vm_arg, which became unusable, holds the role. */
 static gboolean held_by(gpointer role, gpointer holder, gpointer vm_arg)
 {
 	return ((const struct role_holder *)holder)->vm == vm_arg;
 }
 
-/** Whether @a vm_arg, which is usable again, comes before the role's holder. */
-static gboolean loses_to(gpointer role, gpointer holder, gpointer vm_arg)
+/** Whether @a vm_arg, which became usable, ranks above the role's holder. */
+static gboolean is_outranked_by(gpointer role, gpointer holder, gpointer vm_arg)
 {
 	const struct role_holder *h = holder;
 	const struct vm *vm = vm_arg;
 
-	return rank_better(rank_weight(role, vm->name), is_near(vm, h),
-			   rank_weight(role, h->vm->name), is_near(h->vm, h));
+	return rank_better(rank_weight(role, vm->name), is_preferred(vm, h),
+			   rank_weight(role, h->vm->name), is_preferred(h->vm, h));
 }
 
-/** Forget the holders that the changes since the last time can have moved. */
+/** Drops cached role holders that changes of the list or of VMs' usability may have changed. */
 static void holders_update(struct fleet *f)
 {
 	bool new_list = f->ranked_revision != f->peers.revision;
@@ -108,19 +109,20 @@
 			continue;
 		vm->ranked_usable = usable;
 		if (!new_list)
-			g_hash_table_foreach_remove(f->holders, usable ? loses_to : held_by, vm);
+			g_hash_table_foreach_remove(f->holders, usable ? is_outranked_by : held_by,
+						    vm);
 	}
 }
 
 void fleet_members_changed(struct fleet *f)
 {
-	listed_look(f);
+	count_listed(f);
 	holders_update(f);
-	f->watch_place = -1;
+	f->watch_rank = -1;
 	fleet_notify(f);
 }
 
-bool fleet_serves(struct fleet *f, const char *data_center)
+bool fleet_has_usable_vm(struct fleet *f, const char *data_center)
 {
 	struct vm *vm;
 
@@ -140,8 +142,8 @@
 }
 
 /**
- * The holder of @a role. Ranking thousands of VMs for each request would cost more than the
- * request; the result is kept until a change that can move the role, see holders_update().
+ * Returns the holder of @a role. The result is cached until holders_update() drops it, because
+ * ranking thousands of VMs for each request would cost more than the request itself.
  */
 static struct vm *role_holder(struct fleet *f, const char *role, const char *data_center)
 {
@@ -189,7 +191,7 @@
 	return vm != NULL ? vm->address : NULL;
 }
 
-const char *fleet_near_address(struct fleet *f, const char *role)
+const char *fleet_local_holder_address(struct fleet *f, const char *role)
 {
 	const char *here = f->service.kernel->settings->data_center;
 	struct vm *vm = role_holder(f, role, here);
@@ -211,7 +213,7 @@
 	}
 }
 
-bool fleet_surely_listed(struct fleet *f)
+bool fleet_confirmed_listed(struct fleet *f)
 {
 	return f->source->listed == NULL || f->source->listed(f);
 }
@@ -229,18 +231,20 @@
 	return NULL;
 }
 
-int64_t fleet_news_age_us(const struct fleet *f)
+int64_t fleet_conf_age_us(const struct fleet *f)
 {
-	return now_us() - f->news_us;
+	return now_us() - f->conf_confirmed_us;
 }
 
 /* Heartbeats */
 
-/** Between two fetches of the list of VMs: heartbeats tell of deaths sooner, and a VM that comes
- * has nothing to serve before its balancer has seen it ready. */
-#define LIST_PAUSE_US (1 * USEC_PER_SEC)
+/**
+ * Minimum time between two fetches of the list of VMs. It may be long: heartbeats report dead VMs
+ * sooner, and a new VM gets no callers until its load balancer has seen it ready.
+ */
+#define LIST_FETCH_INTERVAL_US (1 * USEC_PER_SEC)
 
-struct beat {
+struct heartbeat_call {
 	struct fleet *f;
 	char vm[NAME_SIZE];
 	char address[ADDRESS_SIZE];
@@ -256,7 +260,7 @@
 	h->incarnation = f->peers.self->incarnation;
 	h->conf_version = f->conf->version;
 	h->vms_revision = f->peers.revision;
-	h->news_age_us = (u_quad_t)fleet_news_age_us(f);
+	h->news_age_us = (u_quad_t)fleet_conf_age_us(f);
 	for (i = 0; i < n; i++) {
 		wire[i].vm = news[i].vm;
 		wire[i].incarnation = news[i].incarnation;
@@ -269,32 +273,33 @@
 }
 
 /**
- * A peer has the same version, and knew @a age_us ago that it is current. Two VMs that are cut off
- * together must not assure each other for ever, so the age travels along and does not begin anew.
+ * Records that a peer with the same version confirmed it as current @a age_us ago. The age is
+ * passed on with heartbeats instead of starting at 0 on each VM; otherwise two VMs in the same
+ * network partition would confirm an outdated version to each other forever.
  */
-static void heard_news(struct fleet *f, int64_t age_us)
+static void confirm_conf(struct fleet *f, int64_t age_us)
 {
 	int64_t known_us = now_us() - age_us;
 
-	if (age_us >= 0 && known_us > f->news_us)
-		f->news_us = known_us;
+	if (age_us >= 0 && known_us > f->conf_confirmed_us)
+		f->conf_confirmed_us = known_us;
 }
 
 /**
- * Whether the list of VMs is to be fetched. It is sent whole: when all VMs of a large fleet start
- * within a second, each would fetch it once for each of the others.
+ * Whether to fetch the list of VMs from a peer that has @a revision. Fetches are rate-limited: when
+ * all VMs of a large fleet start within a second, each would fetch the full list once per peer.
  */
-static bool list_is_old(struct fleet *f, uint64_t revision)
+static bool should_fetch_list(struct fleet *f, uint64_t revision)
 {
 	int64_t now = now_us();
 
-	if (revision <= f->peers.revision || now - f->list_us < LIST_PAUSE_US)
+	if (revision <= f->peers.revision || now - f->list_fetched_us < LIST_FETCH_INTERVAL_US)
 		return false;
-	f->list_us = now;
+	f->list_fetched_us = now;
 	return true;
 }
 
-static void heartbeat_take(struct fleet *f, const ml_heartbeat *h)
+static void heartbeat_process(struct fleet *f, const ml_heartbeat *h)
 {
 	struct vm *vm = peers_find(&f->peers, h->vm);
 	bool usable, changed = false;
@@ -316,23 +321,23 @@
 		usable = peers_usable(vm);
 		peers_heard(vm, h->incarnation, h->conf_version);
 		changed = changed || peers_usable(vm) != usable;
-		if (h->conf_version > f->conf->version || list_is_old(f, h->vms_revision))
-			fleet_conf_behind(f, vm->address);
+		if (h->conf_version > f->conf->version || should_fetch_list(f, h->vms_revision))
+			fleet_fetch_from(f, vm->address);
 		else if (h->conf_version == f->conf->version && f->conf->version > 0)
-			heard_news(f, (int64_t)h->news_age_us);
+			confirm_conf(f, (int64_t)h->news_age_us);
 	}
 	if (changed)
 		fleet_members_changed(f);
 }
 
-static void beat_done(enum rpc_status status, const void *res, void *arg)
+static void heartbeat_done(enum rpc_status status, const void *res, void *arg)
 {
-	struct beat *b = arg;
+	struct heartbeat_call *b = arg;
 	struct fleet *f = b->f;
 	struct vm *vm = peers_find(&f->peers, b->vm);
 
 	if (status == RPC_DONE) {
-		heartbeat_take(f, res);
+		heartbeat_process(f, res);
 	} else if (vm != NULL && vm != f->peers.self) {
 		bool usable = peers_usable(vm);
 
@@ -344,36 +349,37 @@
 	g_free(b);
 }
 
-static void beat_send(struct fleet *f, struct vm *vm)
+static void heartbeat_send(struct fleet *f, struct vm *vm)
 {
 	struct vm_news news[PEERS_NEWS_MAX];
 	ml_news wire[PEERS_NEWS_MAX];
 	int64_t timeout = (int64_t)f->service.kernel->settings->heartbeat_ms * USEC_PER_MSEC;
-	struct beat *b = g_new0(struct beat, 1);
+	struct heartbeat_call *b = g_new0(struct heartbeat_call, 1);
 	ml_heartbeat h;
 
 	b->f = f;
 	g_strlcpy(b->vm, vm->name, sizeof(b->vm));
 	g_strlcpy(b->address, vm->address, sizeof(b->address));
 	heartbeat_make(f, &h, news, wire);
-	rpc_start(rpc_of(f->service.kernel), b->address, ML_HEARTBEAT, &h, timeout, beat_done, b);
+	rpc_start(rpc_of(f->service.kernel), b->address, ML_HEARTBEAT, &h, timeout, heartbeat_done,
+		  b);
 }
 
-void fleet_beat(struct fleet *f)
+void fleet_send_heartbeats(struct fleet *f)
 {
 	struct vm *targets[PEERS_TARGETS_MAX];
 	unsigned n = peers_targets(&f->peers, random_bits(), targets);
 	unsigned i;
 
 	for (i = 0; i < n; i++)
-		beat_send(f, targets[i]);
+		heartbeat_send(f, targets[i]);
 }
 
-static void beat_tick(evutil_socket_t fd, short what, void *arg)
+static void heartbeat_tick(evutil_socket_t fd, short what, void *arg)
 {
 	struct fleet *f = arg;
 
-	fleet_beat(f);
+	fleet_send_heartbeats(f);
 }
 
 static void heartbeat_serve(struct rpc_request *rq, const void *args, void *owner)
@@ -383,7 +389,7 @@
 	ml_news wire[PEERS_NEWS_MAX];
 	ml_heartbeat answer;
 
-	heartbeat_take(f, args);
+	heartbeat_process(f, args);
 	heartbeat_make(f, &answer, news, wire);
 	rpc_reply(rq, &answer);
 }
@@ -397,13 +403,13 @@
 
 	rpc_serve(rpc_of(s->kernel), ML_HEARTBEAT, heartbeat_serve, f);
 	rpc_serve(rpc_of(s->kernel), ML_CONF, fleet_conf_serve, f);
-	f->heartbeat =
-		kernel_every(s->kernel, (int64_t)set->heartbeat_ms * USEC_PER_MSEC, beat_tick, f);
+	f->heartbeat = kernel_every(s->kernel, (int64_t)set->heartbeat_ms * USEC_PER_MSEC,
+				    heartbeat_tick, f);
 	f->source->start(f);
 	return TRUE;
 }
 
-/** Rounds of heartbeats that tell of leaving at once: each reaches other VMs. */
+/** Rounds of heartbeats that announce a leave; each reaches other VMs. */
 #define LEAVE_ROUNDS 4
 
 static void fleet_drain(struct service *s)
@@ -413,7 +419,7 @@
 
 	peers_leave(&f->peers);
 	for (i = 0; i < LEAVE_ROUNDS; i++)
-		fleet_beat(f);
+		fleet_send_heartbeats(f);
 	if (f->source->leave != NULL)
 		f->source->leave(f);
 	fleet_members_changed(f);
@@ -425,7 +431,7 @@
 
 	if (f->heartbeat != NULL)
 		event_free(f->heartbeat);
-	event_free(f->fetch_again);
+	event_free(f->fetch_retry);
 	f->source->stop(f);
 	peers_clear(&f->peers);
 	conf_free(f->conf);
@@ -455,16 +461,16 @@
 								    : &fleet_etcd_ops;
 	f->holders = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	f->ranked_revision = UINT64_MAX;
-	f->watch_place = -1;
+	f->watch_rank = -1;
 	peers_init(&f->peers, k->settings->name, k->settings->advertise, k->settings->data_center,
 		   k->incarnation);
-	listed_look(f);
-	f->fetch_again = event_new(k->base, -1, 0, fleet_fetch_again, f);
+	count_listed(f);
+	f->fetch_retry = event_new(k->base, -1, 0, fleet_on_fetch_retry, f);
 	kernel_add(k, &f->service);
 	return &f->service;
 }
 
-/** Names of the data centres that are evacuated. */
+/** Writes the names of the evacuated data centres. */
 static void put_evacuated(const struct conf *conf, JsonBuilder *b)
 {
 	GHashTableIter iter;
@@ -489,7 +495,7 @@
 	json_builder_set_member_name(b, "conf_version");
 	json_builder_add_int_value(b, (gint64)f->conf->version);
 	json_builder_set_member_name(b, "conf_age_ms");
-	json_builder_add_int_value(b, fleet_news_age_us(f) / USEC_PER_MSEC);
+	json_builder_add_int_value(b, fleet_conf_age_us(f) / USEC_PER_MSEC);
 	put_evacuated(f->conf, b);
 	if (f->source->json != NULL)
 		f->source->json(f, b);
--- a/src/home.c
+++ b/src/home.c
@@ -141,7 +141,7 @@
 	if (strcmp(data_center, h->service.kernel->settings->data_center) == 0)
 		return true;
 	if (!g_hash_table_lookup_extended(served, data_center, NULL, &known)) {
-		known = GINT_TO_POINTER(fleet_serves(f, data_center));
+		known = GINT_TO_POINTER(fleet_has_usable_vm(f, data_center));
 		g_hash_table_insert(served, (gpointer)data_center, known);
 	}
 	return !GPOINTER_TO_INT(known);
--- a/src/member.c
+++ b/src/member.c
@@ -1,4 +1,4 @@
-/** @file member.c Names for logs. */
+/** @file member.c Names of member results for the log. */
 #include "member.h"
 
 const char *member_result_name(enum member_result r)
--- a/src/owner-claim.c
+++ b/src/owner-claim.c
@@ -343,7 +343,7 @@
 static void report_apply(struct owner_group *g, uint64_t revision)
 {
 	int64_t now = now_us();
-	bool listed = fleet_surely_listed(owner_group_fleet(g));
+	bool listed = fleet_confirmed_listed(owner_group_fleet(g));
 
 	g->unreachable_reported_us = now;
 	if (revision > g->revision)
--- a/src/owner-job.c
+++ b/src/owner-job.c
@@ -143,7 +143,7 @@
 static void job_finish(struct owner_job *job, enum outcome o, const struct member_answer *a)
 {
 	job_reply(job, o, a, 0);
-	job_detach(job, a->prelude_failed, a->state);
+	job_detach(job, a->setup_failed, a->state);
 	job_free(job);
 }
 
@@ -424,7 +424,7 @@
 	switch (a->result) {
 	case MEMBER_NO_NAME:
 		g_hash_table_remove_all(c->prepared);
-		job_detach(job, a->prelude_failed, a->state);
+		job_detach(job, a->setup_failed, a->state);
 		job_retry(job, OUTCOME_NO_NAME, 0);
 		return;
 	case MEMBER_BEHIND:
@@ -464,7 +464,7 @@
 
 static void after_begin(struct owner_job *job, const struct member_answer *a)
 {
-	if (a->result != MEMBER_DONE || a->prelude_failed || a->state != TX_OPEN) {
+	if (a->result != MEMBER_DONE || a->setup_failed || a->state != TX_OPEN) {
 		struct member_answer refused = *a;
 
 		if (refused.result == MEMBER_DONE)
--- a/src/owner-watch.c
+++ b/src/owner-watch.c
@@ -132,7 +132,7 @@
 static void probe_send(struct owner_member *m)
 {
 	struct owner_group *g = m->g;
-	enum member_order order = MEMBER_LOOK;
+	enum member_order order = MEMBER_REPORT_STATUS;
 
 	/*
 	 * A replaced primary that is reachable again must take no writes of other VMs. This VM
--- a/src/owner.c
+++ b/src/owner.c
@@ -373,7 +373,7 @@
 	if (!known || owner_is_local(g, address))
 		return NULL;
 	g_snprintf(role, sizeof(role), "read %s", pool);
-	return fleet_near_address(owner_group_fleet(g), role);
+	return fleet_local_holder_address(owner_group_fleet(g), role);
 }
 
 bool owner_can_read(struct owner *o, const char *pool, int64_t max_age_us)
--- a/src/parts.c
+++ b/src/parts.c
@@ -62,8 +62,8 @@
 {
 	struct fleet *f = fleet_here(part->parts);
 
-	return part->lease != 0 && part->lease == fleet_store_lease(f) && fleet_surely_listed(f) &&
-	       is_of_lease_era(part->revision);
+	return part->lease != 0 && part->lease == fleet_store_lease(f) &&
+	       fleet_confirmed_listed(f) && is_of_lease_era(part->revision);
 }
 
 unsigned parts_held(const struct parts *p)
@@ -188,7 +188,7 @@
 	char role[KEY_SIZE];
 
 	if (fleet_is_watcher(f))
-		return (fleet_watch_place(f) + part->index) % FIRST_TO_KNOW;
+		return (fleet_watch_rank(f) + part->index) % FIRST_TO_KNOW;
 	part_key(part, role);
 	return FIRST_TO_KNOW + peers_place(&f->peers, role);
 }
@@ -224,7 +224,7 @@
 	struct fleet *f = fleet_here(p);
 	unsigned i;
 
-	if (p->service.kernel->draining || !f->self_listed || !fleet_surely_listed(f))
+	if (p->service.kernel->draining || !f->self_listed || !fleet_confirmed_listed(f))
 		return;
 	for (i = 0; i < PARTS_PER_DC; i++)
 		part_tick(&p->part[i], now_us());
--- a/src/platform.c
+++ b/src/platform.c
@@ -1,4 +1,4 @@
-/** @file platform.c etcd's JSON gateway through evhttp. */
+/** @file platform.c Client of etcd's JSON gateway, on evhttp. */
 #include "platform.h"
 
 #include "log.h"
@@ -14,7 +14,7 @@
 	struct event_base *base;
 	char endpoint[SETTINGS_ADDRESSES_MAX][ADDRESS_SIZE];
 	unsigned n;
-	unsigned next; /**< endpoint for the next call; moves on after a failure */
+	unsigned next; /**< index of the endpoint for the next call; advances after a failure */
 	unsigned timeout_ms;
 };
 
@@ -27,7 +27,7 @@
 struct platform_watch {
 	struct platform *p;
 	struct evhttp_request *req;
-	platform_event cb;
+	platform_watch_cb cb;
 	void *arg;
 	GString *line;
 };
@@ -74,7 +74,7 @@
 	return text;
 }
 
-/** The gateway writes 64-bit numbers as texts. */
+/** Reads an integer; the gateway encodes 64-bit integers as strings. */
 static int64_t int_member(JsonObject *o, const char *name)
 {
 	JsonNode *node = json_object_get_member(o, name);
@@ -115,7 +115,7 @@
 	g_ptr_array_unref(a->kvs);
 }
 
-static void take_kv(struct platform_answer *a, JsonObject *o, bool deleted)
+static void parse_kv(struct platform_answer *a, JsonObject *o, bool deleted)
 {
 	struct platform_kv *kv = g_new0(struct platform_kv, 1);
 
@@ -139,7 +139,7 @@
 	return node != NULL && JSON_NODE_HOLDS_ARRAY(node) ? json_node_get_array(node) : NULL;
 }
 
-static void take_answer(struct platform_answer *a, JsonObject *o)
+static void parse_answer(struct platform_answer *a, JsonObject *o)
 {
 	JsonArray *kvs = array_member(o, "kvs");
 	JsonObject *header = object_member(o, "header");
@@ -149,7 +149,7 @@
 	a->revision = header != NULL ? int_member(header, "revision") : 0;
 	a->succeeded = json_object_get_boolean_member_with_default(o, "succeeded", FALSE);
 	for (i = 0; kvs != NULL && i < json_array_get_length(kvs); i++)
-		take_kv(a, json_array_get_object_element(kvs, i), false);
+		parse_kv(a, json_array_get_object_element(kvs, i), false);
 }
 
 static void call_done(struct evhttp_request *req, void *arg)
@@ -166,7 +166,7 @@
 
 		if (len > 0 && json_parser_load_from_data(parser, body, (gssize)len, NULL) &&
 		    JSON_NODE_HOLDS_OBJECT(json_parser_get_root(parser)))
-			take_answer(&a, json_node_get_object(json_parser_get_root(parser)));
+			parse_answer(&a, json_node_get_object(json_parser_get_root(parser)));
 	}
 	if (!a.ok) {
 		stat_add(STAT_PLATFORM_FAILED, 1);
@@ -289,7 +289,7 @@
 	json_object_unref(o);
 }
 
-static void take_events(struct platform_watch *w, JsonObject *result)
+static void handle_events(struct platform_watch *w, JsonObject *result)
 {
 	JsonArray *events = array_member(result, "events");
 	JsonObject *header = object_member(result, "header");
@@ -307,13 +307,13 @@
 		JsonObject *kv = object_member(event, "kv");
 
 		if (kv != NULL)
-			take_kv(&a, kv, strcmp(type, "DELETE") == 0);
+			parse_kv(&a, kv, strcmp(type, "DELETE") == 0);
 	}
 	w->cb(&a, w->arg);
 	answer_clear(&a);
 }
 
-static void take_line(struct platform_watch *w, const char *line)
+static void handle_line(struct platform_watch *w, const char *line)
 {
 	JsonParser *parser = json_parser_new();
 
@@ -323,7 +323,7 @@
 			object_member(json_node_get_object(json_parser_get_root(parser)), "result");
 
 		if (result != NULL)
-			take_events(w, result);
+			handle_events(w, result);
 	}
 	g_object_unref(parser);
 }
@@ -341,7 +341,7 @@
 		char *line = g_strndup(w->line->str, (gsize)(end - w->line->str));
 
 		g_string_erase(w->line, 0, end - w->line->str + 1);
-		take_line(w, line);
+		handle_line(w, line);
 		g_free(line);
 	}
 }
@@ -355,7 +355,7 @@
 static void watch_done(struct evhttp_request *req, void *arg)
 {
 	struct platform_watch *w = arg;
-	platform_event cb = w->cb;
+	platform_watch_cb cb = w->cb;
 	void *cb_arg = w->arg;
 
 	w->p->next = (w->p->next + 1) % w->p->n;
@@ -364,7 +364,7 @@
 }
 
 struct platform_watch *platform_watch(struct platform *p, const char *key, const char *end,
-				      int64_t revision, platform_event cb, void *arg)
+				      int64_t revision, platform_watch_cb cb, void *arg)
 {
 	struct platform_watch *w = g_new0(struct platform_watch, 1);
 	JsonObject *o = json_object_new();
@@ -395,7 +395,7 @@
 
 void platform_watch_stop(struct platform_watch *w)
 {
-	/* Ends the connection, without calling watch_done(). */
+	/* Closes the connection without calling watch_done(). */
 	evhttp_cancel_request(w->req);
 	watch_free(w);
 }
--- a/src/promoter.h
+++ b/src/promoter.h
@@ -1,7 +1,8 @@
 /**
  * @file promoter.h
- * The call that makes a member the primary of its group, carried out by whoever runs the databases.
- * Nothing can be read back; the members themselves tell who leads.
+ * Promotion of a member to primary of its group by the service that operates the databases. The
+ * call returns no state; the members' own status shows which one is the primary. A fencing token
+ * orders the promotions of a group: one with an older token is refused.
  */
 #ifndef PROMOTER_H
 #define PROMOTER_H
@@ -10,15 +11,15 @@
 
 enum promoter_result {
 	PROMOTER_ACCEPTED,
-	PROMOTER_REFUSED, /**< nothing will happen: the member does not run, or the token is old */
-	PROMOTER_UNKNOWN, /**< no answer: it may happen */
+	PROMOTER_REFUSED, /**< no effect: the member is down, or the fencing token is outdated */
+	PROMOTER_UNKNOWN, /**< no answer: the promotion may still take place */
 };
 
 typedef void (*promoter_done)(enum promoter_result result, int code, void *arg);
 
 struct promoter_ops {
 	/**
-	 * Order the promotion of @a member of @a pool under the fencing @a token of @a holder.
+	 * Promotes @a member of @a pool, with the fencing @a token that @a holder has.
 	 */
 	void (*promote)(struct kernel *k, const char *address, const char *pool, const char *member,
 			const char *holder, uint64_t token, int64_t timeout_us, promoter_done cb,
--- a/src/records.h
+++ b/src/records.h
@@ -1,46 +1,47 @@
 /**
  * @file records.h
- * What operators and backend servers write to the store, decoded into the product's own entries.
- * An implementation knows the keys and the formats; a record that cannot be read is named in the
- * log and left out, and the others hold.
+ * Parsers for what operators and backend servers write to the store. Operators write one document
+ * with routes, teams, keys and pools; each backend server, which runs one database member, writes a
+ * record of its own. An implementation defines the keys and formats. A malformed record is logged
+ * and skipped; the others are used.
  */
 #ifndef RECORDS_H
 #define RECORDS_H
 
 #include "conf.h"
 
-/** A pool as the operators' document names it; its members come as backend servers. */
+/** A pool: a database group as configured. Its members are in the backend servers' records. */
 struct records_pool {
 	char name[NAME_SIZE];
-	unsigned connections; /**< that each member accepts */
-	unsigned sync;	      /**< replicas that hold a write before it is acknowledged */
-	double cold_per_s;    /**< statements a second that a cold member takes; 0: no limit */
+	unsigned connections; /**< connections that each member accepts */
+	unsigned sync;	      /**< replicas that must have a write before it is acknowledged */
+	double cold_per_s; /**< rate limit of a recently started member, in statements per second;
+			      0: none */
 };
 
 /** The operators' document. */
 struct records_document {
-	uint64_t version;   /**< the operators' own */
+	uint64_t version;   /**< set by the operators */
 	GPtrArray *entries; /**< of conf_entry: routes, teams and keys */
 	GArray *pools;	    /**< of records_pool */
 };
 
-/** A backend server's own entry. */
+/** The record that a backend server writes about itself. */
 struct records_server {
 	char pool[NAME_SIZE];
-	struct conf_member member; /**< connections is left 0 */
-	uint64_t born;		   /**< start of the server's process, in ms */
-	uint64_t sequence;	   /**< counts what that process said */
+	struct conf_member member; /**< connections is 0: the pool sets it */
+	uint64_t started_ms;	   /**< start time of the server's process, in ms */
+	uint64_t sequence;	   /**< number of records written by that process */
 };
 
 struct records_ops {
 	const char *document_key;
 	const char *servers_prefix;
-	/** Keys of evacuated data centres, which end with their names. */
+	/** Prefix of the keys of evacuated data centres; the rest of the key is the name. */
 	const char *evacuations_prefix;
-	/** @return false, with @a d empty, when the text cannot be read as a whole. */
+	/** Parses the operators' document. @return false, with @a d empty, if it is malformed */
 	bool (*document)(const char *text, struct records_document *d);
-	/** Read the entry of the server named @a id. @return false when it names no backend to use.
-	 */
+	/** Parses the record of the server @a id. @return false if it is not usable */
 	bool (*server)(const char *id, const char *text, struct records_server *s);
 };
 
--- a/src/shares-state.h
+++ b/src/shares-state.h
@@ -22,7 +22,7 @@
 #define GRANT_FRESH_US (100 * USEC_PER_MSEC)
 
 /** Most places that may be asked for a team: a bit each in shares_ask. */
-#define SHARES_PLACES_MAX (FLEET_DCS_MAX * PARTS_PER_DC)
+#define SHARES_PLACES_MAX (FLEET_DATA_CENTERS_MAX * PARTS_PER_DC)
 
 /** Asking other VMs for tokens of a team. */
 struct shares_ask {
--- a/src/shares.c
+++ b/src/shares.c
@@ -40,7 +40,7 @@
 	unsigned i, n = 0;
 
 	/* The split counts the data centres that are noted; another one has no part in it. */
-	if (!fleet_lists(fleet_of(t->s->service.kernel), k->settings->data_center))
+	if (!fleet_has_listed_vm(fleet_of(t->s->service.kernel), k->settings->data_center))
 		return 0;
 	for (i = 0; i < PARTS_PER_DC; i++)
 		n += (t->s->held & (1U << i)) && part_has_team(&t->part, t->name, i) ? 1 : 0;
@@ -219,7 +219,7 @@
 /** Spend only what this VM's lease lets it have now. */
 static void look_at_lease(struct shares *s, int64_t now)
 {
-	bool listed = fleet_surely_listed(fleet_of(s->service.kernel));
+	bool listed = fleet_confirmed_listed(fleet_of(s->service.kernel));
 	unsigned held = s->parts != NULL ? parts_held(s->parts) : 0;
 	unsigned gained;
 	struct shares_team *t;
--- a/tests/harness-owner.c
+++ b/tests/harness-owner.c
@@ -28,7 +28,7 @@
 }
 
 static void fake_order(struct member_conn *c, enum member_order order, uint64_t term,
-		       member_told cb)
+		       member_order_done cb)
 {
 	((struct fake_conn *)c)->told = cb;
 }
@@ -224,7 +224,7 @@
 	}
 	u.entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
 	g_ptr_array_add(u.entries, table_entry_make(CONF_POOL, &pool));
-	fleet_take_conf(f, &u, "test");
+	fleet_apply_conf(f, &u, "test");
 	conf_update_clear(&u);
 }
 
@@ -264,7 +264,7 @@
 	for (i = 0; i < fake.n_conns; i++) {
 		struct fake_conn *f = fake.conns[i];
 		struct member_status st = {.term = 1, .received = {1, lsn}};
-		member_told told = f->told;
+		member_order_done told = f->told;
 
 		if (f->closed)
 			continue;
@@ -326,7 +326,7 @@
 	u.entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
 	g_ptr_array_add(u.entries, table_entry_make(CONF_POOL, &pool));
 	((struct conf_entry *)g_ptr_array_index(u.entries, 0))->version = u.version;
-	fleet_take_conf(f, &u, "test");
+	fleet_apply_conf(f, &u, "test");
 	conf_update_clear(&u);
 }
 
--- a/tests/harness-owner.h
+++ b/tests/harness-owner.h
@@ -21,7 +21,7 @@
 	char id[NAME_SIZE];
 	member_opened opened;
 	member_answered answered;
-	member_told told;
+	member_order_done told;
 	member_closed ended;
 	void *arg;
 	bool closed;
--- a/tests/standin-prepared-member.c
+++ b/tests/standin-prepared-member.c
@@ -119,7 +119,8 @@
 	va_start(args, format);
 	evbuffer_add_vprintf(out, format, args);
 	va_end(args);
-	evbuffer_add_printf(out, "READY %c %lu.%lu\r\n", line_state(c->state), pos.term, pos.lsn);
+	evbuffer_add_printf(out, "READY %c %lu.%lu\r\n", line_state_letter(c->state), pos.term,
+			    pos.lsn);
 }
 
 static void fail(struct standin_conn *c, const char *code)
@@ -183,7 +184,7 @@
 
 static void run_write(struct standin_conn *c, const char *request, char *operands)
 {
-	char *item = line_field(&operands);
+	char *item = line_next_field(&operands);
 
 	if (!c->m->primary || c->read_only) {
 		fail(c, "READONLY");
@@ -250,10 +251,10 @@
 	struct pos pos = log_end(m);
 	char *rest;
 
-	if (line_word(text, "STEPDOWN", &rest)) {
+	if (line_match_keyword(text, "STEPDOWN", &rest)) {
 		if (m->primary && m->term < strtoull(rest, NULL, 10) && m != member_leading())
 			m->primary = false;
-	} else if (strcmp(text, "STATUS") != 0 && !line_word(text, "PAUSE", &rest)) {
+	} else if (strcmp(text, "STATUS") != 0 && !line_match_keyword(text, "PAUSE", &rest)) {
 		return false;
 	}
 	evbuffer_add_printf(bufferevent_get_output(c->bev), "ROW %s %lu %lu.%lu 0 0 0 %u\r\n",
@@ -275,14 +276,14 @@
 		reply(c, "COMPLETE -\r\n");
 		return;
 	}
-	if (line_word(text, "WAITFOR", &rest)) {
-		if (!log_has(c->m, line_pos(line_field(&rest)))) {
+	if (line_match_keyword(text, "WAITFOR", &rest)) {
+		if (!log_has(c->m, line_parse_pos(line_next_field(&rest)))) {
 			fail(c, "LAGGING");
 			return;
 		}
 		text = rest;
 	}
-	line_statement(text, &st);
+	line_parse_statement(text, &st);
 	switch (st.op) {
 	case STATEMENT_READ:
 		run_read(c, text + strlen("READ "));
@@ -342,10 +343,10 @@
 {
 	char *rest, *request;
 
-	if (line_word(line, "START", &rest)) {
-		const char *service = line_field(&rest);
-		const char *team = line_field(&rest);
-		const char *id = line_field(&rest);
+	if (line_match_keyword(line, "START", &rest)) {
+		const char *service = line_next_field(&rest);
+		const char *team = line_next_field(&rest);
+		const char *id = line_next_field(&rest);
 
 		if (service == NULL || strcmp(service, standin.service) != 0 ||
 		    (id != NULL && strcmp(id, c->m->name) != 0)) {
@@ -356,7 +357,7 @@
 		reply(c, "%s", "");
 		return;
 	}
-	if (!line_word(line, "QUERY", &rest) || (request = line_field(&rest)) == NULL)
+	if (!line_match_keyword(line, "QUERY", &rest) || (request = line_next_field(&rest)) == NULL)
 		return;
 	if (c->m->busy > 0 && strcmp(request, "-") != 0) {
 		c->m->busy--;
@@ -377,7 +378,7 @@
 	char *line;
 
 	while (!gone && c->m->mode == MEMBER_UP &&
-	       line_take(bufferevent_get_input(bev), &line) == LINE_WHOLE) {
+	       line_take(bufferevent_get_input(bev), &line) == LINE_COMPLETE) {
 		on_line(c, line, &gone);
 		free(line);
 	}
--- a/tests/test-change.c
+++ b/tests/test-change.c
@@ -266,7 +266,7 @@
 		const struct model_member *m = &model.member[f->id[1] - '0'];
 		struct member_status st = {.primary = m->primary, .term = m->term};
 		member_opened opened = f->opened;
-		member_told told = f->told;
+		member_order_done told = f->told;
 
 		if (f->closed || (m == model.member && (partitioned() || i < model.n_dead)))
 			continue;
--- a/tests/test-evacuation.c
+++ b/tests/test-evacuation.c
@@ -1,10 +1,11 @@
-/** @file test-evacuation.c Data centres whose backend servers are to get no more work. */
+/** @file test-evacuation.c Evacuated data centres, whose members get no statements and no primary.
+ */
 #include "harness-owner.h"
 #include "table.h"
 
 #include <string.h>
 
-#define FAR "far"
+#define EVACUATED_DC "far"
 #define NO_BEGIN STATEMENT_READ
 
 static void move_first(struct conf_pool *pool, const char *data_center)
@@ -41,11 +42,11 @@
 	e->removed = !on;
 	u.entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
 	g_ptr_array_add(u.entries, e);
-	fleet_take_conf(fleet_of(w->k), &u, "test");
+	fleet_apply_conf(fleet_of(w->k), &u, "test");
 	conf_update_clear(&u);
 }
 
-/** Turn for @a ms, with the replicas at @a lsn and the primary m0 at 10. */
+/** Runs the event loop for @a ms while the replicas report @a lsn and the primary m0 reports 10. */
 static void turn_for(struct world *w, uint64_t lsn, int ms)
 {
 	int64_t until = test_now_ms() + ms;
@@ -58,7 +59,7 @@
 			bool first = strcmp(f->id, "m0") == 0;
 			struct member_status st = {.term = 1, .primary = first};
 			member_opened opened = f->opened;
-			member_told told = f->told;
+			member_order_done told = f->told;
 
 			st.received = (struct pos){1, first ? 10 : lsn};
 			f->opened = NULL;
@@ -96,7 +97,7 @@
 	world_run_once(w);
 }
 
-/** Whether a statement was sent to @a member since the world was opened. */
+/** Whether one of the recorded statements went to @a member. */
 static bool was_sent_to(const char *member)
 {
 	unsigned i;
@@ -108,15 +109,18 @@
 	return false;
 }
 
-/* Guards against a hand-over that discards what the old primary has and its successor lacks. */
-static void test_a_primary_hands_over_only_what_its_successor_has(void)
+/*
+ * Guards against lost writes: the owner hands over from the evacuated primary while the successor
+ * still lacks records of the primary's log.
+ */
+static void test_hand_over_waits_for_successor_to_catch_up(void)
 {
 	struct owner_group *g;
 	struct world w;
 
 	g = world_serve(&w);
-	world_configure(&w, move_first, FAR);
-	evacuate(&w, FAR, true);
+	world_configure(&w, move_first, EVACUATED_DC);
+	evacuate(&w, EVACUATED_DC, true);
 	turn_for(&w, 9, 400);
 	CHECK(g->state == OWNER_CHOOSING, "state %d", g->state);
 	g->member[0].evacuated_us -= 10 * USEC_PER_SEC;
@@ -128,15 +132,18 @@
 	world_close(&w);
 }
 
-/* Guards against reads, and open transactions, that go on in an evacuated data centre. */
-static void test_reads_leave_and_transactions_end(void)
+/*
+ * Guards against reads and open transactions that continue on members of a data centre after its
+ * evacuation.
+ */
+static void test_evacuation_stops_reads_and_ends_transactions(void)
 {
 	struct owner_group *g;
 	struct world w;
 	unsigned i;
 
 	g = world_serve(&w);
-	world_configure(&w, move_all, FAR);
+	world_configure(&w, move_all, EVACUATED_DC);
 	run(&w, STATEMENT_READ, STATEMENT_BEGIN_READ);
 	turn_for(&w, 10, 50);
 	for (i = 0; i < fake.n_sent && i < 1; i++)
@@ -146,7 +153,7 @@
 				.message = "", .signature = "", .rows = "", .state = TX_OPEN},
 			fake.sent_on[0]->arg);
 	CU_ASSERT_FALSE(TAILQ_EMPTY(&g->txs));
-	evacuate(&w, FAR, true);
+	evacuate(&w, EVACUATED_DC, true);
 	fake.n_sent = 0;
 	for (i = 0; i < g->n; i++)
 		g->member[i].evacuated_us -= 10 * USEC_PER_SEC;
@@ -165,24 +172,24 @@
 }
 
 /*
- * Guards against writes that wait for a group whose members are all evacuated, and against a
- * promotion when they return.
+ * Guards against writes that wait instead of being refused while all members of a group are
+ * evacuated, and against an unneeded promotion when the evacuation ends.
  */
-static void test_a_group_without_members_elsewhere_refuses_and_returns(void)
+static void test_fully_evacuated_group_refuses_writes_and_recovers(void)
 {
 	struct owner_group *g;
 	struct world w;
 
 	g = world_serve(&w);
-	world_configure(&w, move_all, FAR);
-	evacuate(&w, FAR, true);
+	world_configure(&w, move_all, EVACUATED_DC);
+	evacuate(&w, EVACUATED_DC, true);
 	turn_for(&w, 10, 100);
 	CU_ASSERT_EQUAL(g->state, OWNER_SERVING);
 	g->member[0].evacuated_us -= 10 * USEC_PER_SEC;
 	turn_for(&w, 10, 300);
 	run(&w, STATEMENT_WRITE, NO_BEGIN);
 	CU_ASSERT_EQUAL(w.outcome, OUTCOME_NOT_PRIMARY);
-	evacuate(&w, FAR, false);
+	evacuate(&w, EVACUATED_DC, false);
 	turn_for(&w, 10, 200);
 	CU_ASSERT_EQUAL(g->state, OWNER_SERVING);
 	CU_ASSERT_EQUAL(g->primary, 0);
@@ -190,7 +197,10 @@
 	world_close(&w);
 }
 
-/* Guards against a member that comes back cold and gets all reads at once. */
+/*
+ * Guards against overload of a cold (recently restarted) member that gets reads at the full rate
+ * instead of its configured one.
+ */
 static void test_a_cold_member_gets_no_more_than_its_rate(void)
 {
 	struct owner_group *g;
@@ -214,11 +224,12 @@
 }
 
 static const struct test_case cases[] = {
-	{"a_primary_hands_over_only_what_its_successor_has",
-	 test_a_primary_hands_over_only_what_its_successor_has},
-	{"reads_leave_and_transactions_end", test_reads_leave_and_transactions_end},
-	{"a_group_without_members_elsewhere_refuses_and_returns",
-	 test_a_group_without_members_elsewhere_refuses_and_returns},
+	{"hand_over_waits_for_successor_to_catch_up",
+	 test_hand_over_waits_for_successor_to_catch_up},
+	{"evacuation_stops_reads_and_ends_transactions",
+	 test_evacuation_stops_reads_and_ends_transactions},
+	{"fully_evacuated_group_refuses_writes_and_recovers",
+	 test_fully_evacuated_group_refuses_writes_and_recovers},
 	{"a_cold_member_gets_no_more_than_its_rate", test_a_cold_member_gets_no_more_than_its_rate},
 };
 HARNESS_MAIN("evacuation", cases)
--- a/tests/test-line.c
+++ b/tests/test-line.c
@@ -1,4 +1,5 @@
-/** @file test-line.c The line protocol: lines, statements, and connections to a member. */
+/** @file test-line.c The line protocol: parsing of lines and statements, and connections to a
+ * member. */
 #include "harness.h"
 #include "net.h"
 #include "platform-adapter.h"
@@ -20,22 +21,22 @@
 	return v;
 }
 
-static void test_lines(void)
+static void test_complete_and_incomplete_lines(void)
 {
 	char *line;
 
-	CU_ASSERT_EQUAL(take("QUERY 1 READ a\r\n", 16, &line), LINE_WHOLE);
+	CU_ASSERT_EQUAL(take("QUERY 1 READ a\r\n", 16, &line), LINE_COMPLETE);
 	CU_ASSERT_STRING_EQUAL(line, "QUERY 1 READ a");
 	free(line);
-	CU_ASSERT_EQUAL(take("QUERY 1 READ a", 14, &line), LINE_NONE);
-	CU_ASSERT_EQUAL(take("QUERY 1 READ a\n", 15, &line), LINE_NONE);
+	CU_ASSERT_EQUAL(take("QUERY 1 READ a", 14, &line), LINE_INCOMPLETE);
+	CU_ASSERT_EQUAL(take("QUERY 1 READ a\n", 15, &line), LINE_INCOMPLETE);
 }
 
 /*
- * A caller hides a second statement behind a lone CR or LF inside its first. Sent on as it came, a
- * member could take it as the end of a line and run what follows as a statement of its own.
+ * Guards against statement injection: a bare CR, LF or NUL in a forwarded statement could end the
+ * line early in the member's parser, which would run the rest as another statement.
  */
-static void test_no_statement_hides_in_another(void)
+static void test_bare_line_ends_are_rejected(void)
 {
 	char *line;
 
@@ -50,7 +51,7 @@
 	char *line;
 
 	memcpy(big + LINE_MAX_BYTES - 2, "\r\n", 2);
-	CU_ASSERT_EQUAL(take(big, LINE_MAX_BYTES, &line), LINE_WHOLE);
+	CU_ASSERT_EQUAL(take(big, LINE_MAX_BYTES, &line), LINE_COMPLETE);
 	free(line);
 	memset(big, 'x', LINE_MAX_BYTES);
 	CU_ASSERT_EQUAL(take(big, LINE_MAX_BYTES, &line), LINE_TOO_LONG);
@@ -62,7 +63,7 @@
 {
 	struct statement st;
 
-	line_statement(text, &st);
+	line_parse_statement(text, &st);
 	CHECK(st.op == op, "%s: %d", text, st.op);
 	CHECK(g_strcmp0(st.name, name) == 0, "%s: name %s", text, st.name);
 	CHECK(g_strcmp0(st.operand, operand) == 0, "%s: operand %s", text, st.operand);
@@ -86,9 +87,11 @@
 	check_statement("ROLLBACK", STATEMENT_ROLLBACK, NULL, NULL, false);
 }
 
-/* The position prefix is for members: a caller that could send it would choose its own staleness.
+/*
+ * Guards against callers that send commands reserved for the proxy. With WAITFOR, for example, a
+ * caller could choose the staleness of its reads.
  */
-static void test_what_callers_may_not_send(void)
+static void test_reserved_and_malformed_statements_are_rejected(void)
 {
 	static const char *const bad[] = {
 		"",
@@ -114,7 +117,7 @@
 	for (i = 0; i < G_N_ELEMENTS(bad); i++) {
 		struct statement st;
 
-		line_statement(bad[i], &st);
+		line_parse_statement(bad[i], &st);
 		CHECK(st.op == STATEMENT_BAD, "%s: %d", bad[i], st.op);
 		line_statement_clear(&st);
 	}
@@ -122,13 +125,13 @@
 
 static void test_positions(void)
 {
-	CU_ASSERT_EQUAL(line_pos("3.1207").term, 3);
-	CU_ASSERT_EQUAL(line_pos("3.1207").lsn, 1207);
-	CU_ASSERT_EQUAL(line_pos("-").term, 0);
-	CU_ASSERT_EQUAL(line_pos(NULL).term, 0);
+	CU_ASSERT_EQUAL(line_parse_pos("3.1207").term, 3);
+	CU_ASSERT_EQUAL(line_parse_pos("3.1207").lsn, 1207);
+	CU_ASSERT_EQUAL(line_parse_pos("-").term, 0);
+	CU_ASSERT_EQUAL(line_parse_pos(NULL).term, 0);
 }
 
-/** Random bytes, and mutations of lines that are served, in pieces of any length. */
+/** Parses randomly mutated and truncated lines; no input may crash the parser. */
 static void test_fuzz(void)
 {
 	static const char *const seeds[] = {
@@ -152,17 +155,17 @@
 		if (rand() % 4 == 0)
 			len = (size_t)rand() % (len + 1);
 		evbuffer_add(in, bytes, len);
-		while (line_take(in, &line) == LINE_WHOLE) {
+		while (line_take(in, &line) == LINE_COMPLETE) {
 			struct statement st;
 			enum tx_state state;
 			struct pos pos;
 			char *rest;
 
 			lines++;
-			line_statement(line, &st);
+			line_parse_statement(line, &st);
 			line_statement_clear(&st);
-			if (line_word(line, "READY", &rest))
-				line_ready(rest, &state, &pos);
+			if (line_match_keyword(line, "READY", &rest))
+				line_parse_ready(rest, &state, &pos);
 			free(line);
 		}
 	}
@@ -170,7 +173,7 @@
 	evbuffer_free(in);
 }
 
-/* A member that answers from a script */
+/* A member that returns scripted answers */
 
 struct script {
 	struct event_base *base;
@@ -180,7 +183,7 @@
 	struct member_conn *conn;
 	struct pos pos[8];
 	enum member_result result[8];
-	bool prelude_failed[8];
+	bool setup_failed[8];
 	unsigned n;
 };
 
@@ -189,7 +192,7 @@
 	struct script *s = arg;
 	char *line;
 
-	while (line_take(bufferevent_get_input(bev), &line) == LINE_WHOLE) {
+	while (line_take(bufferevent_get_input(bev), &line) == LINE_COMPLETE) {
 		const char *answer = s->answers[s->next++];
 
 		bufferevent_write(bev, answer, strlen(answer));
@@ -213,7 +216,7 @@
 
 	s->pos[s->n] = a->pos;
 	s->result[s->n] = a->result;
-	s->prelude_failed[s->n] = a->prelude_failed;
+	s->setup_failed[s->n] = a->setup_failed;
 	s->n++;
 	event_base_loopbreak(s->base);
 }
@@ -252,11 +255,11 @@
 }
 
 /*
- * A reader gets data older than its route allows. The primary refused a statement as busy and told
- * no position; the one of the answer before was taken for it, as if it were known now. An answer
- * tells its own position or none.
+ * Guards against reads that are staler than their route allows. The primary refused a statement as
+ * busy, without a log position, and the position of the previous answer was taken for the current
+ * one.
  */
-static void test_an_answer_without_position_tells_none(void)
+static void test_answer_without_position_clears_position(void)
 {
 	static const char *const answers[] = {
 		"READY I 1.4\r\n",
@@ -281,7 +284,7 @@
 	CU_ASSERT_EQUAL(s.pos[1].term, 0);
 	CU_ASSERT_EQUAL(s.result[2], MEMBER_DONE);
 	CU_ASSERT_EQUAL(s.pos[2].lsn, 6);
-	CU_ASSERT_TRUE(s.prelude_failed[2]);
+	CU_ASSERT_TRUE(s.setup_failed[2]);
 	s.conn->ops->close(s.conn);
 	bufferevent_free(s.bev);
 	evconnlistener_free(l);
@@ -289,13 +292,14 @@
 }
 
 static const struct test_case cases[] = {
-	{"lines", test_lines},
-	{"no_statement_hides_in_another", test_no_statement_hides_in_another},
+	{"complete_and_incomplete_lines", test_complete_and_incomplete_lines},
+	{"bare_line_ends_are_rejected", test_bare_line_ends_are_rejected},
 	{"length_limit", test_length_limit},
 	{"statements", test_statements},
-	{"what_callers_may_not_send", test_what_callers_may_not_send},
+	{"reserved_and_malformed_statements_are_rejected",
+	 test_reserved_and_malformed_statements_are_rejected},
 	{"positions", test_positions},
 	{"fuzz", test_fuzz},
-	{"an_answer_without_position_tells_none", test_an_answer_without_position_tells_none},
+	{"answer_without_position_clears_position", test_answer_without_position_clears_position},
 };
 HARNESS_MAIN("line", cases)
--- a/tests/test-list.c
+++ b/tests/test-list.c
@@ -1,4 +1,5 @@
-/** @file test-list.c The list of VMs between peers: only what changed, and nothing that is gone. */
+/** @file test-list.c Exchange of the list of VMs between peers: changes, removals and late answers.
+ */
 #include "fleet.h"
 #include "harness.h"
 
@@ -6,14 +7,14 @@
 
 #define VM(name) "{\"name\":\"" name "\",\"address\":\"127.0.0.1:2\",\"data_center\":\"dc\"}"
 
-/** A VM that knows a list. */
-struct knower {
+/** A VM with its own list. */
+struct list_vm {
 	struct settings settings;
 	struct kernel *k;
 	struct fleet *f;
 };
 
-static void knower_open(struct knower *w, const char *name)
+static void list_vm_open(struct list_vm *w, const char *name)
 {
 	memset(w, 0, sizeof(*w));
 	g_strlcpy(w->settings.name, name, sizeof(w->settings.name));
@@ -27,105 +28,105 @@
 	w->f = fleet_of(w->k);
 }
 
-static bool knows(const struct knower *w, const char *vm)
+static bool has_vm(const struct list_vm *w, const char *vm)
 {
 	return peers_find(&w->f->peers, vm) != NULL;
 }
 
-/** Put an entry and have it in force; without a value it is gone. */
-static void change(struct knower *w, const char *vm, const char *value, uint64_t revision)
+/** Changes one entry of the list and puts the list in force; NULL as @a value removes the entry. */
+static void change_entry(struct list_vm *w, const char *vm, const char *value, uint64_t revision)
 {
 	fleet_list_put(w->f, vm, value, revision);
-	fleet_list_in_force(w->f, revision);
+	fleet_list_publish(w->f, revision);
 }
 
-/** @a to asks @a from, which tells it. @return how many entries were told */
-static unsigned ask(struct knower *to, const struct knower *from)
+/** Transfers the changes of the list from @a from to @a to. @return the number of entries sent */
+static unsigned transfer(struct list_vm *to, const struct list_vm *from)
 {
 	ml_conf_res res = {0};
 	unsigned n;
 
-	fleet_list_tell(from->f, to->f->peers.revision, &res);
+	fleet_list_write_changes(from->f, to->f->peers.revision, &res);
 	n = res.vms.vms_len;
-	fleet_list_hear(to->f, &res);
+	fleet_list_apply_changes(to->f, &res);
 	g_free(res.vms.vms_val);
 	return n;
 }
 
-static void test_only_changes_are_told(void)
+static void test_only_changed_entries_are_sent(void)
 {
-	struct knower a, b;
-
-	knower_open(&a, "vm-1");
-	knower_open(&b, "vm-2");
-	fleet_take_vms(a.f, 10, "[" VM("vm-1") "," VM("vm-2") "," VM("vm-3") "]");
-	CU_ASSERT_EQUAL(ask(&b, &a), 3);
-	CU_ASSERT_TRUE(knows(&b, "vm-3"));
-	CU_ASSERT_EQUAL(ask(&b, &a), 0);
-	change(&a, "vm/vm-4", VM("vm-4"), 12);
-	CU_ASSERT_EQUAL(ask(&b, &a), 1);
-	CU_ASSERT_TRUE(knows(&b, "vm-3") && knows(&b, "vm-4"));
-	change(&a, "vm/vm-3", NULL, 13);
-	CU_ASSERT_EQUAL(ask(&b, &a), 1);
-	CU_ASSERT_FALSE(knows(&b, "vm-3"));
+	struct list_vm a, b;
+
+	list_vm_open(&a, "vm-1");
+	list_vm_open(&b, "vm-2");
+	fleet_apply_vms(a.f, 10, "[" VM("vm-1") "," VM("vm-2") "," VM("vm-3") "]");
+	CU_ASSERT_EQUAL(transfer(&b, &a), 3);
+	CU_ASSERT_TRUE(has_vm(&b, "vm-3"));
+	CU_ASSERT_EQUAL(transfer(&b, &a), 0);
+	change_entry(&a, "vm/vm-4", VM("vm-4"), 12);
+	CU_ASSERT_EQUAL(transfer(&b, &a), 1);
+	CU_ASSERT_TRUE(has_vm(&b, "vm-3") && has_vm(&b, "vm-4"));
+	change_entry(&a, "vm/vm-3", NULL, 13);
+	CU_ASSERT_EQUAL(transfer(&b, &a), 1);
+	CU_ASSERT_FALSE(has_vm(&b, "vm-3"));
 	CU_ASSERT_EQUAL(b.f->peers.revision, 13);
 }
 
 /*
- * A VM that is gone for good is kept for ever: its tokens and roles are waited for.
- * It came and went while the peer that is asked did not run, so the peer has nothing to tell of it.
- * To a VM whose knowledge is older than its own, a peer tells the whole list.
+ * Guards against a removed VM that stays on a list forever, so that its tokens and roles are waited
+ * for. A peer that started after the removal has no entry for it; to a VM whose list is older than
+ * its own history, a peer must send the full list.
  */
-static void test_what_went_before_the_peer_began_is_dropped(void)
+static void test_entries_removed_before_peer_start_are_dropped(void)
 {
-	struct knower a, b;
-
-	knower_open(&a, "vm-1");
-	knower_open(&b, "vm-2");
-	fleet_take_vms(b.f, 11, "[" VM("vm-1") "," VM("vm-2") "," VM("vm-9") "]");
-	fleet_take_vms(a.f, 20, "[" VM("vm-1") "," VM("vm-2") "]");
-	ask(&b, &a);
-	CU_ASSERT_FALSE(knows(&b, "vm-9"));
+	struct list_vm a, b;
+
+	list_vm_open(&a, "vm-1");
+	list_vm_open(&b, "vm-2");
+	fleet_apply_vms(b.f, 11, "[" VM("vm-1") "," VM("vm-2") "," VM("vm-9") "]");
+	fleet_apply_vms(a.f, 20, "[" VM("vm-1") "," VM("vm-2") "]");
+	transfer(&b, &a);
+	CU_ASSERT_FALSE(has_vm(&b, "vm-9"));
 	CU_ASSERT_EQUAL(b.f->peers.revision, 20);
 }
 
-/* An answer that was long under way does not bring back what has changed since. */
+/* Guards against a delayed answer that restores an entry which was removed meanwhile. */
 static void test_a_late_answer_changes_nothing(void)
 {
 	ml_conf_res late = {0};
-	struct knower a, b;
-
-	knower_open(&a, "vm-1");
-	knower_open(&b, "vm-2");
-	fleet_take_vms(a.f, 10, "[" VM("vm-1") "," VM("vm-2") "," VM("vm-3") "]");
-	fleet_list_tell(a.f, 0, &late);
-	change(&a, "vm/vm-3", NULL, 12);
-	ask(&b, &a);
-	CU_ASSERT_FALSE(knows(&b, "vm-3"));
-	fleet_list_hear(b.f, &late);
-	CU_ASSERT_FALSE(knows(&b, "vm-3"));
+	struct list_vm a, b;
+
+	list_vm_open(&a, "vm-1");
+	list_vm_open(&b, "vm-2");
+	fleet_apply_vms(a.f, 10, "[" VM("vm-1") "," VM("vm-2") "," VM("vm-3") "]");
+	fleet_list_write_changes(a.f, 0, &late);
+	change_entry(&a, "vm/vm-3", NULL, 12);
+	transfer(&b, &a);
+	CU_ASSERT_FALSE(has_vm(&b, "vm-3"));
+	fleet_list_apply_changes(b.f, &late);
+	CU_ASSERT_FALSE(has_vm(&b, "vm-3"));
 	CU_ASSERT_EQUAL(b.f->peers.revision, 12);
 	g_free(late.vms.vms_val);
 }
 
-/* Bytes that name no VM are logged, and the entry before stays. */
-static void test_a_malformed_entry_leaves_the_one_before(void)
+/* Guards against a malformed entry that removes the VM; the previous entry must stay in force. */
+static void test_malformed_entry_keeps_previous_one(void)
 {
-	struct knower a;
-
-	knower_open(&a, "vm-1");
-	fleet_take_vms(a.f, 10, "[" VM("vm-1") "," VM("vm-3") "]");
-	change(&a, "vm/vm-3", "{\"nam", 12);
-	CU_ASSERT_TRUE(knows(&a, "vm-3"));
-	change(&a, "vm/vm-3", "[]", 13);
-	CU_ASSERT_TRUE(knows(&a, "vm-3"));
+	struct list_vm a;
+
+	list_vm_open(&a, "vm-1");
+	fleet_apply_vms(a.f, 10, "[" VM("vm-1") "," VM("vm-3") "]");
+	change_entry(&a, "vm/vm-3", "{\"nam", 12);
+	CU_ASSERT_TRUE(has_vm(&a, "vm-3"));
+	change_entry(&a, "vm/vm-3", "[]", 13);
+	CU_ASSERT_TRUE(has_vm(&a, "vm-3"));
 }
 
 static const struct test_case cases[] = {
-	{"only_changes_are_told", test_only_changes_are_told},
-	{"what_went_before_the_peer_began_is_dropped",
-	 test_what_went_before_the_peer_began_is_dropped},
+	{"only_changed_entries_are_sent", test_only_changed_entries_are_sent},
+	{"entries_removed_before_peer_start_are_dropped",
+	 test_entries_removed_before_peer_start_are_dropped},
 	{"a_late_answer_changes_nothing", test_a_late_answer_changes_nothing},
-	{"a_malformed_entry_leaves_the_one_before", test_a_malformed_entry_leaves_the_one_before},
+	{"malformed_entry_keeps_previous_one", test_malformed_entry_keeps_previous_one},
 };
 HARNESS_MAIN("list", cases)
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -669,7 +669,7 @@
 	reads = fake.n_gets;
 	claim_tick(g, now_us());
 	CU_ASSERT_EQUAL(fake.n_gets, reads + 1);
-	store_source.former_until_us = now_us();
+	store_source.previous_lease_until_us = now_us();
 	CU_ASSERT_FALSE(owner_group_may_send(g));
 	world_close(&w);
 }
--- a/tests/test-parts.c
+++ b/tests/test-parts.c
@@ -99,7 +99,7 @@
 				     "\",\"data_center\":\"dc\"}]",
 				     part0, part0[0] != '\0' ? "," : "");
 
-	fleet_take_vms(fleet_of(w->k), revision, text);
+	fleet_apply_vms(fleet_of(w->k), revision, text);
 	g_free(text);
 }
 
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -1,5 +1,4 @@
-/** @file test-records.c The operators' document and backend servers' entries, also malformed ones.
- */
+/** @file test-records.c Parsing of the operators' document and of backend servers' records. */
 #include "harness.h"
 #include "key.h"
 #include "platform-adapter.h"
@@ -46,7 +45,7 @@
 
 	CU_ASSERT_TRUE(platform_records_ops.document(document, &d));
 	CU_ASSERT_EQUAL(d.version, 7);
-	/* Two routes, a team and its two keys can be read; the rest is left out. */
+	/* Two routes, a team and its two keys are valid; the malformed entries are skipped. */
 	CU_ASSERT_EQUAL(d.entries->len, 5);
 	CU_ASSERT_EQUAL(d.pools->len, 1);
 	CU_ASSERT_EQUAL(g_array_index(d.pools, struct records_pool, 0).sync, 1);
@@ -70,7 +69,7 @@
 	records_document_clear(&d);
 }
 
-static void test_what_is_no_document(void)
+static void test_malformed_documents_are_rejected(void)
 {
 	static const char *const bad[] = {"",
 					  "no json",
@@ -112,8 +111,8 @@
 	CU_ASSERT_TRUE(s.member.cold);
 }
 
-/* Another writer's entry names no backend server to use. */
-static void test_what_names_no_server(void)
+/* Guards against the use of a backend server whose record is malformed or incomplete. */
+static void test_malformed_server_records_are_rejected(void)
 {
 	static const char *const bad[] = {
 		"",
@@ -135,7 +134,7 @@
 	}
 }
 
-/** Random changes of a document: read or not, it ends well. */
+/** Parses randomly mutated documents; no input may crash the parser. */
 static void test_fuzz(void)
 {
 	unsigned round;
@@ -159,8 +158,10 @@
 }
 
 static const struct test_case cases[] = {
-	{"document", test_document}, {"what_is_no_document", test_what_is_no_document},
-	{"servers", test_servers},   {"what_names_no_server", test_what_names_no_server},
+	{"document", test_document},
+	{"malformed_documents_are_rejected", test_malformed_documents_are_rejected},
+	{"servers", test_servers},
+	{"malformed_server_records_are_rejected", test_malformed_server_records_are_rejected},
 	{"fuzz", test_fuzz},
 };
 
--- a/tests/test-shares.c
+++ b/tests/test-shares.c
@@ -29,7 +29,7 @@
 	e->version = 1;
 	u.entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
 	g_ptr_array_add(u.entries, e);
-	fleet_take_conf(fleet_of(w->k), &u, "test");
+	fleet_apply_conf(fleet_of(w->k), &u, "test");
 	conf_update_clear(&u);
 }
 
@@ -168,7 +168,7 @@
 		"{\"name\":\"vm-2\",\"address\":\"%s\",\"data_center\":\"dc\","
 		"\"incarnation\":\"9\"}]",
 		keeper.address, keeper.address, keeper.address, keeper.address, keeper.address);
-	fleet_take_vms(fleet_of(w->k), 5, text);
+	fleet_apply_vms(fleet_of(w->k), 5, text);
 	g_free(text);
 }
 
@@ -285,7 +285,7 @@
 	g_string_append(text, "{\"name\":\"vm-1\",\"address\":\"" SELF "\",\"data_center\":\"dc\"},"
 			      "{\"name\":\"vm-2\",\"address\":\"127.0.0.1:2\","
 			      "\"data_center\":\"dc\"}]");
-	fleet_take_vms(fleet_of(w->k), 5, text->str);
+	fleet_apply_vms(fleet_of(w->k), 5, text->str);
 	g_string_free(text, TRUE);
 }
 
--- a/tests/test-store-list.c
+++ b/tests/test-store-list.c
@@ -1,4 +1,4 @@
-/** @file test-store-list.c Versions of the configuration out of a store that the test plays. */
+/** @file test-store-list.c Lists, watches and configuration versions, with a fake store. */
 #include "fleet-store-source.h"
 #include "harness.h"
 #include "page.h"
@@ -8,21 +8,21 @@
 
 #define DOCUMENT_REVISION 10
 #define SELF "{\"name\":\"vm-1\",\"address\":\"127.0.0.1:1\",\"data_center\":\"dc\"}"
-/** Revision of the whole store: our own keys change all the time. */
+/** Revision of the whole store, which the daemons' own keys raise all the time. */
 #define STORE_REVISION 500
 
 static uint64_t store_revision = STORE_REVISION;
 static uint64_t era;
 static unsigned n_lists, n_stale_lists, n_cancelled;
-/** Lists that do not name the VM yet. */
-static unsigned n_unlisted;
+/** Number of first lists that lack this VM's key. */
+static unsigned n_lists_without_vm;
 static store_done watch_done;
 static uint64_t document_version;
-/** What the server's entry says. */
-static uint64_t server_born, server_sequence;
+/** Contents of the backend server's record. */
+static uint64_t server_started_ms, server_sequence;
 static bool server_leaving;
 
-static bool played_document(const char *text, struct records_document *d)
+static bool fake_document(const char *text, struct records_document *d)
 {
 	struct conf_team team = {.name = "clerks", .rate = 8, .burst = 8};
 	struct records_pool pool = {.name = "p", .connections = 16};
@@ -37,26 +37,26 @@
 	return true;
 }
 
-static bool played_server(const char *id, const char *text, struct records_server *s)
+static bool fake_server(const char *id, const char *text, struct records_server *s)
 {
 	memset(s, 0, sizeof(*s));
 	g_strlcpy(s->pool, "p", sizeof(s->pool));
 	g_strlcpy(s->member.name, id, sizeof(s->member.name));
 	g_strlcpy(s->member.data_center, "dc", sizeof(s->member.data_center));
-	s->born = server_born;
+	s->started_ms = server_started_ms;
 	s->sequence = server_sequence;
 	s->member.leaving = server_leaving;
 	return true;
 }
 
-static const struct records_ops played_records = {.document_key = "doc",
-						  .servers_prefix = "servers/",
-						  .evacuations_prefix = "evacuate/",
-						  .document = played_document,
-						  .server = played_server};
+static const struct records_ops fake_records = {.document_key = "doc",
+						.servers_prefix = "servers/",
+						.evacuations_prefix = "evacuate/",
+						.document = fake_document,
+						.server = fake_server};
 
-static struct store_call *played_list(struct store *s, const char *prefix, const char *after,
-				      bool stale, store_done cb, void *arg)
+static struct store_call *fake_list(struct store *s, const char *prefix, const char *after,
+				    bool stale, store_done cb, void *arg)
 {
 	struct store_item items[] = {
 		{.key = "doc", .value = "{}", .revision = DOCUMENT_REVISION},
@@ -75,23 +75,23 @@
 	a.items = g_ptr_array_new();
 	g_ptr_array_add(a.items, &items[0]);
 	g_ptr_array_add(a.items, &items[1]);
-	if (n_lists > n_unlisted)
+	if (n_lists > n_lists_without_vm)
 		g_ptr_array_add(a.items, &items[2]);
 	cb(&a, arg);
 	g_ptr_array_unref(a.items);
 	return NULL;
 }
 
-static struct store_call *played_watch(struct store *s, const char *prefix, uint64_t revision,
-				       int64_t wait_us, store_done cb, void *arg)
+static struct store_call *fake_watch(struct store *s, const char *prefix, uint64_t revision,
+				     int64_t wait_us, store_done cb, void *arg)
 {
 	watch_done = cb;
 	return (struct store_call *)s;
 }
 
-static struct store_call *played_commit(struct store *s, const struct store_guard *guards,
-					unsigned n_guards, const struct store_write *writes,
-					unsigned n_writes, store_done cb, void *arg)
+static struct store_call *fake_commit(struct store *s, const struct store_guard *guards,
+				      unsigned n_guards, const struct store_write *writes,
+				      unsigned n_writes, store_done cb, void *arg)
 {
 	struct store_answer a = {.status = STORE_DONE};
 
@@ -100,40 +100,40 @@
 	return NULL;
 }
 
-static void played_cancel(struct store_call *call)
+static void fake_cancel(struct store_call *call)
 {
 	n_cancelled++;
 }
 
-static struct store_call *played_grant(struct store *s, int64_t ttl_us, store_done cb, void *arg)
+static struct store_call *fake_grant(struct store *s, int64_t ttl_us, store_done cb, void *arg)
 {
 	return NULL;
 }
 
-static struct store *played_create(struct kernel *k, const char *address, int64_t timeout_us);
+static struct store *fake_create(struct kernel *k, const char *address, int64_t timeout_us);
 
-static void played_free(struct store *s)
+static void fake_free(struct store *s)
 {
 }
 
-static const struct store_ops played_ops = {.create = played_create,
-					    .free = played_free,
-					    .list = played_list,
-					    .watch = played_watch,
-					    .cancel = played_cancel,
-					    .commit = played_commit,
-					    .lease_grant = played_grant};
-static const struct adapter played_adapter = {.store = &played_ops, .records = &played_records};
+static const struct store_ops fake_ops = {.create = fake_create,
+					  .free = fake_free,
+					  .list = fake_list,
+					  .watch = fake_watch,
+					  .cancel = fake_cancel,
+					  .commit = fake_commit,
+					  .lease_grant = fake_grant};
+static const struct adapter fake_adapter = {.store = &fake_ops, .records = &fake_records};
 
-static struct store *played_create(struct kernel *k, const char *address, int64_t timeout_us)
+static struct store *fake_create(struct kernel *k, const char *address, int64_t timeout_us)
 {
-	static struct store store = {.ops = &played_ops};
+	static struct store store = {.ops = &fake_ops};
 
 	return &store;
 }
 
-/** A VM that has started and read the store. */
-static struct fleet *started(struct settings *settings)
+/** Starts a VM, which reads the store. */
+static struct fleet *start_vm(struct settings *settings)
 {
 	struct kernel *k;
 
@@ -148,57 +148,57 @@
 	settings->heartbeat_ms = 1000;
 	settings->platform_kind = PLATFORM_PREPARED;
 	k = kernel_create(settings);
-	k->adapter = &played_adapter;
+	k->adapter = &fake_adapter;
 	rpc_service_create(k);
 	fleet_service_create(k);
 	fleet_of(k)->source->start(fleet_of(k));
 	return fleet_of(k);
 }
 
-/** The same, of a store that tells its era. */
-static struct fleet *started_in_first_era(struct settings *settings)
+/** Starts a VM with a store that reports era 1. */
+static struct fleet *start_vm_in_first_era(struct settings *settings)
 {
 	era = 1;
-	n_unlisted = 0;
-	return started(settings);
+	n_lists_without_vm = 0;
+	return start_vm(settings);
 }
 
 /*
- * Whenever a VM starts, each VM of the fleet fetches the whole configuration and goes through it.
- * The VM numbered what it read by the revision of the whole store, which our own keys move on all
- * the time, so the same configuration looked newer than the one in force everywhere.
+ * Guards against a restart that makes every VM fetch the full configuration again. The restarted VM
+ * derived the version from the revision of the whole store, which the daemons' own keys raise all
+ * the time, so the same configuration appeared newer than the one in force.
  */
 static void test_a_start_makes_no_new_version(void)
 {
 	struct settings settings;
 	uint64_t first;
 
-	first = started(&settings)->conf->version;
+	first = start_vm(&settings)->conf->version;
 	CU_ASSERT_TRUE(first > 0);
 	store_revision += 50;
-	CU_ASSERT_EQUAL(started(&settings)->conf->version, first);
+	CU_ASSERT_EQUAL(start_vm(&settings)->conf->version, first);
 }
 
-/* What an operator, or a server, writes later is newer. */
+/* Guards against a change by an operator or a server that does not raise the version. */
 static void test_a_change_makes_a_new_version(void)
 {
 	struct store_item item = {.key = "servers/i-2", .value = "{}"};
 	struct settings settings;
-	struct fleet *f = started(&settings);
+	struct fleet *f = start_vm(&settings);
 	uint64_t first = f->conf->version;
 
 	item.revision = store_revision + 1;
-	source_take(&item);
-	store_source.as_of = store_revision + 1;
+	source_apply_item(&item);
+	store_source.synced_revision = store_revision + 1;
 	source_publish();
 	CU_ASSERT_TRUE(f->conf->version > first);
 }
 
 /*
- * Guards against the whole configuration being sent, by each VM that has restarted, to each that
- * lacks a change of one server; and against an evacuation that such a VM never heard to end.
+ * Guards against a restarted VM that sends the full configuration to each peer that only lacks a
+ * change of one server, and against a peer that is not told of the end of an evacuation.
  */
-static void test_a_restarted_vm_tells_what_servers_changed(void)
+static void test_restarted_vm_sends_only_changed_pools(void)
 {
 	struct store_item item = {.key = "servers/i-2", .value = "{}"};
 	struct settings settings;
@@ -206,15 +206,15 @@
 	struct page p;
 	guint i, pools = 0, ended = 0;
 
-	started(&settings);
+	start_vm(&settings);
 	item.revision = store_revision + 1;
-	store_source.listed_all = false;
+	store_source.list_is_complete = false;
 	f = store_source.f;
 	conf_free(f->conf);
 	f->conf = conf_create();
-	source_take(&item);
-	store_source.as_of = store_revision + 1;
-	store_source.listed_all = true;
+	source_apply_item(&item);
+	store_source.synced_revision = store_revision + 1;
+	store_source.list_is_complete = true;
 	store_source.conf_changed = true;
 	source_publish();
 	CU_ASSERT_TRUE(f->conf->version > DOCUMENT_REVISION * 8);
@@ -235,46 +235,54 @@
 	conf_update_clear(&p.u);
 }
 
-/* A VM whose watch broke goes on with a key that was withdrawn meanwhile. */
+/*
+ * Guards against a withdrawn key that keeps working: the list after a failed watch was a stale read
+ * from before the withdrawal.
+ */
 static void test_a_list_after_a_broken_watch_is_not_stale(void)
 {
 	const struct store_answer compacted = {.status = STORE_COMPACTED};
 	struct settings settings;
 
-	n_lists = n_stale_lists = n_unlisted = 0;
-	started(&settings);
+	n_lists = n_stale_lists = n_lists_without_vm = 0;
+	start_vm(&settings);
 	CU_ASSERT_EQUAL(n_lists, 1);
 	watch_done(&compacted, NULL);
 	CU_ASSERT_EQUAL(n_lists, 2);
 	CU_ASSERT_EQUAL(n_stale_lists, 0);
 }
 
-/* Guards against changes being missed by a watch from a revision that is given out again. */
+/*
+ * Guards against missed changes after a restore: a watch from a revision of the previous era skips
+ * changes, because the store assigns the same revisions again.
+ */
 static void test_another_era_ends_the_watch(void)
 {
 	struct settings settings;
 
 	era = 1;
-	n_lists = n_cancelled = n_unlisted = 0;
-	started(&settings);
+	n_lists = n_cancelled = n_lists_without_vm = 0;
+	start_vm(&settings);
 	store_source.store->era(1, NULL);
 	CU_ASSERT_EQUAL(n_lists, 1);
 	era = 2;
 	store_source.store->era(2, NULL);
 	CU_ASSERT_EQUAL(n_cancelled, 1);
 	CU_ASSERT_EQUAL(n_lists, 2);
-	CU_ASSERT_EQUAL(store_source.as_of, era_revision(2, store_revision));
+	CU_ASSERT_EQUAL(store_source.synced_revision, era_revision(2, store_revision));
 	CU_ASSERT_FALSE(fleet_store_is_current(era_revision(1, 3)));
 	CU_ASSERT_TRUE(fleet_store_is_current(era_revision(2, 3)));
-	/* An answer of before that comes late changes nothing. */
+	/* A late answer of the previous era is ignored. */
 	store_source.store->era(1, NULL);
 	CU_ASSERT_TRUE(fleet_store_is_current(era_revision(2, 3)));
 	era = 0;
 }
 
-/* Guards against a VM that trusts its lease, or an evacuation, being taken for ended by a restore.
+/*
+ * Guards against a restore that removes a VM which still trusts its lease, or ends an evacuation,
+ * because the older copy lacks their keys.
  */
-static void test_what_the_store_lost_counts_for_a_lease(void)
+static void test_keys_lost_in_restore_stay_for_one_lease(void)
 {
 	struct store_item other = {
 		.key = FLEET_STORE_VMS "vm-2",
@@ -287,17 +295,17 @@
 	struct settings settings;
 	struct fleet *f;
 
-	f = started_in_first_era(&settings);
-	source_take(&other);
-	source_take(&evacuation);
-	store_source.as_of = evacuation.revision;
+	f = start_vm_in_first_era(&settings);
+	source_apply_item(&other);
+	source_apply_item(&evacuation);
+	store_source.synced_revision = evacuation.revision;
 	source_publish();
 	CU_ASSERT_PTR_NOT_NULL(peers_find(&f->peers, "vm-2"));
 	era = 2;
 	store_source.store->era(2, NULL);
 	CU_ASSERT_PTR_NOT_NULL(peers_find(&f->peers, "vm-2"));
 	CU_ASSERT_TRUE(conf_evacuated(f->conf, "dc"));
-	CU_ASSERT_TRUE(store_source.keeps);
+	CU_ASSERT_TRUE(store_source.keeps_lost_keys);
 	CU_ASSERT_FALSE(fleet_store_settled(f));
 	store_source.era.since_us -= LEASE_TTL_US;
 	store_source.lease = 7;
@@ -312,14 +320,15 @@
 	era = 0;
 }
 
-/* Guards against a VM never being listed whose first write of its key gets no answer. */
+/* Guards against a VM that is never registered, because the first write of its key got no answer.
+ */
 static void test_a_first_registration_is_tried_again(void)
 {
 	const struct timeval tick = {.tv_usec = 250000};
 	struct settings settings;
 	struct fleet *f;
 
-	f = started_in_first_era(&settings);
+	f = start_vm_in_first_era(&settings);
 	store_source.lease = 7;
 	store_source.lease_era = 1;
 	store_source.lease_asked = false;
@@ -329,86 +338,98 @@
 	era = 0;
 }
 
-/** The store comes back from an older copy. */
-static void restored(void)
+/** Simulates a restore of the store: raises its era. */
+static void simulate_restore(void)
 {
 	era++;
 	store_source.store->era(era, NULL);
 }
 
-/* Guards against a configuration of before being in force until operators have written again. */
+/*
+ * Guards against an older document that is put in force after a restore, until the operators write
+ * the document again.
+ */
 static void test_an_older_document_is_not_put_in_force(void)
 {
 	struct settings settings;
 	struct fleet *f;
 
 	document_version = 49;
-	f = started_in_first_era(&settings);
+	f = start_vm_in_first_era(&settings);
 	CU_ASSERT_EQUAL(conf_team(f->conf, "clerks")->rate, 8 + 49);
 	document_version = 43;
-	restored();
+	simulate_restore();
 	CU_ASSERT_EQUAL(conf_team(f->conf, "clerks")->rate, 8 + 49);
 	document_version = 51;
-	restored();
+	simulate_restore();
 	CU_ASSERT_EQUAL(conf_team(f->conf, "clerks")->rate, 8 + 51);
 	document_version = era = 0;
 }
 
-/* Guards against a server that leaves being used again, for as long once more. */
-static void test_a_leaving_server_does_not_return_with_its_former_entry(void)
+/*
+ * Guards against a draining server that is used again after a restore, because the store returns an
+ * older record of the same process.
+ */
+static void test_leaving_server_is_not_reused_by_outdated_record(void)
 {
 	struct settings settings;
 	struct fleet *f;
 
-	server_born = 1000;
+	server_started_ms = 1000;
 	server_sequence = 50;
 	server_leaving = true;
-	f = started_in_first_era(&settings);
+	f = start_vm_in_first_era(&settings);
 	CU_ASSERT_TRUE(conf_pool(f->conf, "p")->member[0].leaving);
 	server_sequence = 20;
 	server_leaving = false;
-	restored();
+	simulate_restore();
 	CU_ASSERT_TRUE(conf_pool(f->conf, "p")->member[0].leaving);
-	/* Another process under the same id begins anew. */
-	server_born = 2000;
+	/* The record of a new process with the same id is accepted. */
+	server_started_ms = 2000;
 	server_sequence = 1;
-	restored();
+	simulate_restore();
 	CU_ASSERT_FALSE(conf_pool(f->conf, "p")->member[0].leaving);
-	server_born = server_sequence = era = 0;
+	server_started_ms = server_sequence = era = 0;
 }
 
-static unsigned news_of_groups;
+static unsigned n_group_changes;
 
 static void on_record(const struct store_item *item, void *owner)
 {
 	struct fleet *f = owner;
 
 	CU_ASSERT_TRUE(f->conf->version > 0);
-	news_of_groups++;
+	n_group_changes++;
 }
 
-/* Owners of groups stay unknown after a start, since their records come before the groups do. */
-static void test_a_list_is_told_when_it_is_in_force(void)
+/*
+ * Guards against groups without a known owner after a start: listeners were notified of the groups'
+ * records before the groups were configured, and ignored them.
+ */
+static void test_listeners_are_notified_once_list_is_in_force(void)
 {
 	struct store_item record = {
 		.key = FLEET_STORE_PREFIX "group/p", .value = "{}", .revision = 4};
 	struct settings settings;
-	struct fleet *f = started(&settings);
+	struct fleet *f = start_vm(&settings);
 
-	news_of_groups = 0;
+	n_group_changes = 0;
 	fleet_store_listen(f, FLEET_STORE_PREFIX "group/", on_record, f);
-	store_source.listed_all = false;
-	source_take(&record);
-	CU_ASSERT_EQUAL(news_of_groups, 0);
-	store_source.listed_all = true;
+	store_source.list_is_complete = false;
+	source_apply_item(&record);
+	CU_ASSERT_EQUAL(n_group_changes, 0);
+	store_source.list_is_complete = true;
 	source_notify_pending();
-	CU_ASSERT_EQUAL(news_of_groups, 1);
+	CU_ASSERT_EQUAL(n_group_changes, 1);
 	record.revision = 6;
-	source_take(&record);
-	CU_ASSERT_EQUAL(news_of_groups, 2);
+	source_apply_item(&record);
+	CU_ASSERT_EQUAL(n_group_changes, 2);
 }
 
-/* Each VM of a fleet that starts watches the store, since the list that it read names no other. */
+/*
+ * Guards against every VM of a starting fleet becoming a watcher: a list without the other VMs
+ * ranks each VM first.
+ */
 static void test_a_vm_that_is_not_listed_yet_watches_nothing(void)
 {
 	const struct timeval tv = {.tv_sec = 3};
@@ -416,9 +437,9 @@
 	struct fleet *f;
 
 	n_lists = n_stale_lists = 0;
-	n_unlisted = 5;
+	n_lists_without_vm = 5;
 	watch_done = NULL;
-	f = started(&settings);
+	f = start_vm(&settings);
 	CU_ASSERT_TRUE(f->conf->version > 0);
 	CU_ASSERT_PTR_NULL(watch_done);
 	event_base_loopexit(f->service.kernel->base, &tv);
@@ -426,10 +447,10 @@
 	CU_ASSERT_EQUAL(n_lists, 6);
 	CU_ASSERT_EQUAL(n_stale_lists, 4);
 	CU_ASSERT_PTR_NOT_NULL(watch_done);
-	n_unlisted = 0;
+	n_lists_without_vm = 0;
 }
 
-/* A store that turns many VMs away is asked by each of them again and again. */
+/* Guards against an overloaded store that gets frequent retries of lease calls from every VM. */
 static void test_a_lease_is_renewed_in_time_by_few_calls(void)
 {
 	const int64_t outage_us = 9 * USEC_PER_SEC;
@@ -444,26 +465,26 @@
 		calls++;
 	}
 	CU_ASSERT_TRUE(calls <= 10);
-	/* The call that follows the outage is still in time. */
+	/* The first call after the outage is made before the lease ends. */
 	CU_ASSERT_TRUE(at_us <= left_us);
 	CU_ASSERT_EQUAL(source_lease_retry_us(0), 500 * USEC_PER_MSEC);
 }
 
 static const struct test_case cases[] = {
 	{"a_lease_is_renewed_in_time_by_few_calls", test_a_lease_is_renewed_in_time_by_few_calls},
-	{"a_list_is_told_when_it_is_in_force", test_a_list_is_told_when_it_is_in_force},
+	{"listeners_are_notified_once_list_is_in_force",
+	 test_listeners_are_notified_once_list_is_in_force},
 	{"a_vm_that_is_not_listed_yet_watches_nothing",
 	 test_a_vm_that_is_not_listed_yet_watches_nothing},
 	{"a_list_after_a_broken_watch_is_not_stale", test_a_list_after_a_broken_watch_is_not_stale},
 	{"another_era_ends_the_watch", test_another_era_ends_the_watch},
-	{"what_the_store_lost_counts_for_a_lease", test_what_the_store_lost_counts_for_a_lease},
+	{"keys_lost_in_restore_stay_for_one_lease", test_keys_lost_in_restore_stay_for_one_lease},
 	{"a_first_registration_is_tried_again", test_a_first_registration_is_tried_again},
 	{"an_older_document_is_not_put_in_force", test_an_older_document_is_not_put_in_force},
-	{"a_leaving_server_does_not_return_with_its_former_entry",
-	 test_a_leaving_server_does_not_return_with_its_former_entry},
+	{"leaving_server_is_not_reused_by_outdated_record",
+	 test_leaving_server_is_not_reused_by_outdated_record},
 	{"a_start_makes_no_new_version", test_a_start_makes_no_new_version},
-	{"a_restarted_vm_tells_what_servers_changed",
-	 test_a_restarted_vm_tells_what_servers_changed},
+	{"restarted_vm_sends_only_changed_pools", test_restarted_vm_sends_only_changed_pools},
 	{"a_change_makes_a_new_version", test_a_change_makes_a_new_version},
 };
 HARNESS_MAIN("store-list", cases)
