--- a/src/db-libpq.c
+++ b/src/db-libpq.c
@@ -1,4 +1,4 @@
-/** @file db-libpq.c Database connections by libpq's asynchronous calls. */
+/** @file db-libpq.c Database connections with libpq's asynchronous functions. */
 #include "db.h"
 #include "net.h"
 #include "pgwire.h"
@@ -17,9 +17,9 @@
 	db_opened opened;
 	db_answered answered;
 	void *arg;
-	struct db_query query; /**< only its numbers and flags are kept */
-	unsigned results;      /**< results seen of the running query */
-	bool described_params; /**< the describe's prepare has been answered */
+	struct db_query query; /**< only numbers and flags; the pointers are cleared */
+	unsigned results;      /**< results of the running query received so far */
+	bool described_params; /**< the Prepare step of a describe has been answered */
 	struct db_result res;
 };
 
@@ -38,8 +38,8 @@
 	g_free(c);
 }
 
-/** Tell the outcome of connecting. */
-static void libpq_opened(struct libpq_conn *c, bool ok, const char *why)
+/** Reports the result of connecting. */
+static void libpq_connect_done(struct libpq_conn *c, bool ok, const char *why)
 {
 	db_opened cb = c->opened;
 
@@ -75,10 +75,10 @@
 		return;
 	case PGRES_POLLING_OK:
 		PQsetnonblocking(c->pg, 1);
-		libpq_opened(c, true, "");
+		libpq_connect_done(c, true, "");
 		return;
 	default:
-		libpq_opened(c, false, PQerrorMessage(c->pg));
+		libpq_connect_done(c, false, PQerrorMessage(c->pg));
 	}
 }
 
@@ -87,10 +87,10 @@
 	struct libpq_conn *c = arg;
 	bool failed = PQstatus(c->pg) == CONNECTION_BAD;
 
-	libpq_opened(c, false, failed ? PQerrorMessage(c->pg) : "timeout");
+	libpq_connect_done(c, false, failed ? PQerrorMessage(c->pg) : "timeout");
 }
 
-static void notice_ignored(void *arg, const PGresult *res)
+static void ignore_notice(void *arg, const PGresult *res)
 {
 }
 
@@ -114,7 +114,7 @@
 	c->pg = PQconnectStartParams(keys, values, 0);
 	if (c->pg == NULL)
 		g_error("out of memory");
-	PQsetNoticeReceiver(c->pg, notice_ignored, NULL);
+	PQsetNoticeReceiver(c->pg, ignore_notice, NULL);
 	if (PQstatus(c->pg) == CONNECTION_BAD) {
 		kernel_arm(c->timer, 0);
 		return &c->db;
@@ -132,8 +132,8 @@
 		sscanf(text, "%lu/%lu", &c->res.pos.term, &c->res.pos.lsn);
 }
 
-/** Tell the answer; the connection may be used again, or closed, by the callback. */
-static void libpq_answer(struct libpq_conn *c)
+/** Passes the answer to the callback, which may reuse or close the connection. */
+static void libpq_query_done(struct libpq_conn *c)
 {
 	db_answered cb = c->answered;
 	struct db_result res = c->res;
@@ -224,7 +224,7 @@
 		.hint = PQresultErrorField(r, PG_DIAG_MESSAGE_HINT),
 	};
 
-	/* libpq makes an error without a state when the connection breaks. */
+	/* When the connection breaks, libpq itself makes an error without an SQLSTATE. */
 	if (sqlstate == NULL) {
 		c->res.status = DB_LOST;
 		return;
@@ -238,13 +238,13 @@
 	pg_put_error(c->res.frames, &e);
 }
 
-static void keep_value(struct libpq_conn *c, const PGresult *r)
+static void save_first_value(struct libpq_conn *c, const PGresult *r)
 {
 	if (c->res.value[0] == '\0' && PQntuples(r) > 0 && PQnfields(r) > 0)
 		g_strlcpy(c->res.value, PQgetvalue(r, 0, 0), sizeof(c->res.value));
 }
 
-static void take_describe(struct libpq_conn *c, const PGresult *r)
+static void handle_describe(struct libpq_conn *c, const PGresult *r)
 {
 	if (!c->described_params)
 		return;
@@ -255,19 +255,19 @@
 		pg_put_empty(c->res.frames, 'n');
 }
 
-static void libpq_take(struct libpq_conn *c, const PGresult *r)
+static void libpq_handle_result(struct libpq_conn *c, const PGresult *r)
 {
 	bool skipped = c->results++ < c->query.skip_results;
 
 	switch (PQresultStatus(r)) {
 	case PGRES_TUPLES_OK:
-		keep_value(c, r);
+		save_first_value(c, r);
 		if (!skipped)
 			put_rows(c, r);
 		return;
 	case PGRES_COMMAND_OK:
 		if (c->query.describe) {
-			take_describe(c, r);
+			handle_describe(c, r);
 			return;
 		}
 		if (skipped)
@@ -286,7 +286,7 @@
 
 static void libpq_read(evutil_socket_t fd, short what, void *arg);
 
-/** Write what is buffered, and wait for the answer. */
+/** Writes buffered output and waits for the answer. */
 static void libpq_flush(struct libpq_conn *c)
 {
 	int left = PQflush(c->pg);
@@ -320,25 +320,25 @@
 				return;
 			}
 			parse_position(c);
-			libpq_answer(c);
+			libpq_query_done(c);
 			return;
 		}
-		libpq_take(c, r);
+		libpq_handle_result(c, r);
 		PQclear(r);
 	}
 	if (c->res.status == DB_LOST || PQstatus(c->pg) == CONNECTION_BAD) {
 		c->res.status = DB_LOST;
-		libpq_answer(c);
+		libpq_query_done(c);
 	}
 }
 
-/** A query that could not even be written ends here, from the loop. */
-static void libpq_broken(evutil_socket_t fd, short what, void *arg)
+/** Ends a query that could not be written; runs from the loop. */
+static void libpq_send_failed(evutil_socket_t fd, short what, void *arg)
 {
 	struct libpq_conn *c = arg;
 
 	c->res.status = DB_LOST;
-	libpq_answer(c);
+	libpq_query_done(c);
 }
 
 static int send_extended(struct libpq_conn *c, const struct db_query *q)
@@ -385,7 +385,7 @@
 	c->res.message = g_strdup("");
 	if (c->timer != NULL)
 		event_free(c->timer);
-	c->timer = event_new(c->kernel->base, -1, 0, libpq_broken, c);
+	c->timer = event_new(c->kernel->base, -1, 0, libpq_send_failed, c);
 	sent = q->extended || q->describe ? send_extended(c, q) : PQsendQuery(c->pg, q->sql);
 	if (!sent) {
 		kernel_arm(c->timer, 0);
@@ -399,12 +399,12 @@
 	return PQbackendPID(((const struct libpq_conn *)db)->pg);
 }
 
-static bool libpq_at_rest(const struct db_conn *db)
+static bool libpq_is_idle(const struct db_conn *db)
 {
 	return PQtransactionStatus(((const struct libpq_conn *)db)->pg) == PQTRANS_IDLE;
 }
 
-static bool libpq_failed(const struct db_conn *db)
+static bool libpq_in_failed_tx(const struct db_conn *db)
 {
 	return PQtransactionStatus(((const struct libpq_conn *)db)->pg) == PQTRANS_INERROR;
 }
@@ -414,6 +414,6 @@
 	.query = libpq_query,
 	.close = libpq_close,
 	.backend_pid = libpq_backend_pid,
-	.at_rest = libpq_at_rest,
-	.failed = libpq_failed,
+	.is_idle = libpq_is_idle,
+	.in_failed_tx = libpq_in_failed_tx,
 };
--- a/src/db.h
+++ b/src/db.h
@@ -1,7 +1,7 @@
 /**
  * @file db.h
- * One connection to a database member, driven by the loop. A small vtable, so that the logic above
- * it can be run with a fake.
+ * One connection to a member (a database server of a group), driven by the event loop. It is a
+ * vtable, so that tests can replace it by a fake.
  */
 #ifndef DB_H
 #define DB_H
@@ -16,10 +16,10 @@
 enum db_status {
 	DB_OK,
 	DB_SQL_ERROR, /**< the member answered with an error */
-	DB_LOST,      /**< the connection ended before the answer was whole */
+	DB_LOST,      /**< the connection ended before the answer was complete */
 };
 
-/** One statement's parameter. */
+/** A parameter of a statement. */
 struct db_param {
 	bool null;
 	int format;
@@ -30,57 +30,55 @@
 
 struct db_query {
 	const char *sql;
-	bool extended;	   /**< with parameters, by the extended protocol */
-	bool describe;	   /**< only ask for the parameters' types and the row's shape */
-	bool describe_row; /**< write the row's shape into the frames, as an extended caller asked
-			    */
+	bool extended;	   /**< use the extended protocol, with parameters */
+	bool describe;	   /**< only ask for parameter types and the row description */
+	bool describe_row; /**< put the row description into the frames of an extended query */
 	int result_format;
 	const struct db_param *params;
 	unsigned n_params;
-	unsigned skip_results; /**< first results that are not the caller's */
-	size_t result_max;     /**< most bytes of frames */
+	unsigned skip_results; /**< leading results that are not passed to the caller */
+	size_t result_max;     /**< limit on the size of the frames, in bytes; 0 for none */
 };
 
-/** Room for the one value that the proxy's own queries ask for. */
+/** Size of the single value that the proxy's own queries return. */
 #define DB_VALUE_SIZE 512
 
-/** The whole answer to one query. */
+/** The complete answer to one query. */
 struct db_result {
 	enum db_status status;
 	char sqlstate[6];
-	char *message;		   /**< of an error, or "" */
-	GByteArray *frames;	   /**< messages of the PostgreSQL protocol for the caller */
-	bool too_large;		   /**< the frames passed result_max and were dropped */
-	char value[DB_VALUE_SIZE]; /**< first column of the first row of a skipped result, or of the
-				      only one */
-	struct pos pos;		   /**< the member's position with the answer */
+	char *message;		   /**< error message, or "" */
+	GByteArray *frames;	   /**< PostgreSQL protocol messages for the caller */
+	bool too_large;		   /**< the frames exceeded result_max and were dropped */
+	char value[DB_VALUE_SIZE]; /**< first column of the first result that has a row */
+	struct pos pos;		   /**< log position that the member reported with the answer */
 };
 
 typedef void (*db_opened)(struct db_conn *c, bool ok, const char *why, void *arg);
 typedef void (*db_answered)(struct db_conn *c, const struct db_result *res, void *arg);
 
 struct db_ops {
-	/** Connect; @a cb is called once, from the loop. */
+	/** Connects; @a cb is called once, from the loop. */
 	struct db_conn *(*open)(struct kernel *k, const char *address, const char *database,
 				int64_t timeout_us, db_opened cb, void *arg);
-	/** Send @a q on an idle connection; @a cb is called once, from the loop. */
+	/** Sends @a q on an idle connection; @a cb is called once, from the loop. */
 	void (*query)(struct db_conn *c, const struct db_query *q, db_answered cb, void *arg);
-	/** Close at once; no callback is called any more. */
+	/** Closes at once; no callback is called after this. */
 	void (*close)(struct db_conn *c);
-	/** The member's own number for this connection. */
+	/** Returns the process ID of the member's backend for this connection. */
 	int (*backend_pid)(const struct db_conn *c);
-	/** Whether the connection is outside any transaction. */
-	bool (*at_rest)(const struct db_conn *c);
-	/** Whether the connection is in a transaction that has failed. */
-	bool (*failed)(const struct db_conn *c);
+	/** Returns whether the connection is outside any transaction. */
+	bool (*is_idle)(const struct db_conn *c);
+	/** Returns whether the connection is in a transaction that has failed. */
+	bool (*in_failed_tx)(const struct db_conn *c);
 };
 
-/** First member of each kind of connection. */
+/** Base of each implementation's connection, as its first struct member. */
 struct db_conn {
 	const struct db_ops *ops;
 };
 
-/** Connections by libpq. */
+/** Implementation with libpq. */
 extern const struct db_ops db_libpq_ops;
 
 #endif
--- a/src/home-confirm.c
+++ b/src/home-confirm.c
@@ -1,4 +1,4 @@
-/** @file home-confirm.c A commit is acknowledged when a majority of its group has it. */
+/** @file home-confirm.c Acknowledges a commit once a majority of its group has it. */
 #include "home.h"
 
 #include "confirm.h"
@@ -7,17 +7,17 @@
 
 #include <string.h>
 
-/** How long a replica's home is asked to wait for the record in one call. */
-#define CONFIRM_CALL_US (200 * USEC_PER_MSEC)
+/** How long a replica's home waits for the commit in one RPC. */
+#define CONFIRM_RPC_WAIT_US (200 * USEC_PER_MSEC)
 /**
- * A commit that no majority has after this long is told as not confirmed, even when the deadline
+ * A commit that no majority has after this time is reported as not confirmed, even if the deadline
  * is later.
  */
 #define CONFIRM_WAIT_MAX_US (10 * USEC_PER_SEC)
-/** A replica whose last report is older than this is not counted on for new commits. */
-#define CONFIRM_FRESH_US (3 * USEC_PER_SEC)
+/** A replica whose last report is older is not expected to confirm new commits. */
+#define REPORT_AGE_MAX_US (3 * USEC_PER_SEC)
 
-bool home_confirmable(const struct home_member *m)
+bool home_can_confirm(const struct home_member *m)
 {
 	int64_t now = now_us();
 	unsigned able = 0;
@@ -29,13 +29,14 @@
 		const struct member_view *v = &m->view.member[i];
 
 		if ((int)i != m->self && v->state == MEMBER_UP &&
-		    now - v->reported_us < CONFIRM_FRESH_US)
+		    now - v->reported_us < REPORT_AGE_MAX_US)
 			able++;
 	}
 	return able >= confirm_needed(m->view.n);
 }
 
-static unsigned confirmed_by(struct home_job *job)
+/** Returns how many replicas have the job's commit. */
+static unsigned count_replicas(struct home_job *job)
 {
 	const struct group_view *g = &job->m->view;
 	unsigned count = 0;
@@ -44,10 +45,10 @@
 	for (i = 0; i < g->n; i++) {
 		if ((int)i == job->m->self)
 			continue;
-		if (!job->has[i] && g->member[i].state != MEMBER_UNKNOWN)
-			job->has[i] =
+		if (!job->replicated[i] && g->member[i].state != MEMBER_UNKNOWN)
+			job->replicated[i] =
 				confirm_replica(job->pos, &g->member[i].report) == CONFIRM_YES;
-		count += job->has[i];
+		count += job->replicated[i];
 	}
 	return count;
 }
@@ -60,9 +61,10 @@
 	home_job_end(job, o, 0);
 }
 
-static void confirm_judge(struct home_job *job)
+/** Answers the job if its commit is confirmed or lost. */
+static void confirm_evaluate(struct home_job *job)
 {
-	if (confirmed_by(job) >= confirm_needed(job->m->view.n)) {
+	if (count_replicas(job) >= confirm_needed(job->m->view.n)) {
 		stat_add(STAT_CONFIRMS, 1);
 		confirm_end(job, OUTCOME_DONE);
 		return;
@@ -72,7 +74,7 @@
 		confirm_end(job, OUTCOME_DONE);
 		break;
 	case CONFIRM_LOST:
-		/* Discarded for good by the promotion: it is true that it did not run. */
+		/* The promotion discarded the commit for good, so "did not run" is correct. */
 		confirm_end(job, job->args->control == ML_CONTROL_COMMIT ? OUTCOME_TX_LOST
 									 : OUTCOME_NOT_PRIMARY);
 		break;
@@ -81,7 +83,8 @@
 	}
 }
 
-static void confirm_ask(struct home_member *m)
+/** Requests reports of the replicas that wait for the oldest unconfirmed commit. */
+static void request_confirmations(struct home_member *m)
 {
 	struct home_job *first = TAILQ_FIRST(&m->unconfirmed);
 	unsigned i;
@@ -90,7 +93,7 @@
 		return;
 	for (i = 0; i < m->view.n; i++) {
 		if ((int)i != m->self)
-			home_watch_ask(m, (int)i, first->pos, CONFIRM_CALL_US);
+			home_watch_request_report(m, (int)i, first->pos, CONFIRM_RPC_WAIT_US);
 	}
 }
 
@@ -99,8 +102,8 @@
 	struct home_job *job, *next;
 
 	TAILQ_FOREACH_SAFE(job, &m->unconfirmed, link, next)
-		confirm_judge(job);
-	confirm_ask(m);
+		confirm_evaluate(job);
+	request_confirmations(m);
 }
 
 void home_confirm_expire(struct home_member *m, int64_t now)
--- a/src/home-conn.c
+++ b/src/home-conn.c
@@ -1,4 +1,4 @@
-/** @file home-conn.c Connections of one member, within its limit. */
+/** @file home-conn.c Connections to one member, within its connection limit. */
 #include "home.h"
 
 #include "log.h"
@@ -8,13 +8,13 @@
 
 #define OPEN_TIMEOUT_US (1000 * USEC_PER_MSEC)
 /** Pause after the member refused a connection. */
-#define OPEN_PAUSE_US (100 * USEC_PER_MSEC)
+#define OPEN_RETRY_US (100 * USEC_PER_MSEC)
 
 unsigned home_conn_limit(const struct home_member *m)
 {
 	/*
-	 * The member's own limit is the bound also while two homes serve it; this one leaves room
-	 * for watching.
+	 * Leave room for the monitoring connections. While two homes serve the member for a time,
+	 * the member's own limit bounds their connections together.
 	 */
 	return m->conf.connections > HOME_CONTROL_CONNECTIONS
 		       ? m->conf.connections - HOME_CONTROL_CONNECTIONS
@@ -52,9 +52,9 @@
 	if (!ok) {
 		log_info("connection-refused", LOG_STR("pool", m->pool),
 			 LOG_STR("member", m->conf.name), LOG_STR("why", why));
-		m->open_after_us = now_us() + OPEN_PAUSE_US;
+		m->open_after_us = now_us() + OPEN_RETRY_US;
 		home_conn_close(c);
-		home_watch_hint(m);
+		home_watch_probe_soon(m);
 		return;
 	}
 	stat_add(STAT_CONNECTIONS_OPENED, 1);
@@ -84,18 +84,16 @@
 	struct home_member *m = c->m;
 
 	c->job = NULL;
-	c->idle_looks = 0;
+	c->idle_checks = 0;
 	c->idle_us = now_us();
-	/*
-	 * A connection that some statement left inside a transaction must reach no other session.
-	 */
-	if (!c->db->ops->at_rest(c->db)) {
+	/* Another session must not get a connection that is still inside a transaction. */
+	if (!c->db->ops->is_idle(c->db)) {
 		home_conn_close(c);
 		return;
 	}
 	/*
-	 * The most recently used goes first, so that the others can be closed when the rush is
-	 * over.
+	 * Reuse the most recently used connection first, so that the others stay idle and can be
+	 * closed after a peak of load.
 	 */
 	TAILQ_REMOVE(&m->conns, c, link);
 	TAILQ_INSERT_HEAD(&m->conns, c, link);
--- a/src/home-failover.c
+++ b/src/home-failover.c
@@ -1,7 +1,8 @@
 /**
  * @file home-failover.c
- * The change of primary: the promoter's orders to other homes, and the orders that come to members
- * of this one. Decisions are in decide/failover.c.
+ * Failover: the orders that a promoter (the home that runs a failover) sends to the homes of its
+ * group's members, and the orders received for members of this home. Decisions are in
+ * decide/failover.c.
  */
 #include "home-watch.h"
 
@@ -13,11 +14,12 @@
 #include <stdio.h>
 #include <string.h>
 
-/** Between two orders to a member of this home to follow the primary. */
+/** Least time between two orders to a member of this home to follow the primary. */
 #define FOLLOW_PAUSE_US (200 * USEC_PER_MSEC)
 
 static void failover_act(struct home_watch *w, struct failover_order o);
 
+/** An order sent to the home of a member. */
 struct order {
 	struct home_watch *w;
 	char member[NAME_SIZE];
@@ -35,7 +37,7 @@
 	int64_t now = now_us();
 	int i;
 
-	watch_call_in(o);
+	watch_call_ended(o);
 	if (w != NULL && !o->attach) {
 		i = group_find(&w->m->view, o->member);
 		if (o->promote) {
@@ -68,7 +70,7 @@
 	o->promote = promote;
 	o->attach = upstream[0] != '\0';
 	g_strlcpy(o->member, w->m->view.member[i].name, sizeof(o->member));
-	watch_call_out(o);
+	watch_call_started(o);
 	args.promote = promote;
 	args.term = term;
 	args.upstream = (char *)upstream;
@@ -110,7 +112,7 @@
 	}
 }
 
-/** A member that follows nobody, or somebody else than the leader, is told whom to follow. */
+/** Orders this home's member to follow the primary if it follows no member or another one. */
 static void follow_check(struct home_watch *w)
 {
 	struct home_member *m = w->m;
@@ -126,7 +128,7 @@
 	if (strcmp(own->report.upstream, m->view.member[primary].name) == 0 &&
 	    own->report.seen_term == m->view.member[primary].report.seen_term)
 		return;
-	if (w->ask[m->self].out || now_us() - w->ask[m->self].asked_us < FOLLOW_PAUSE_US)
+	if (w->ask[m->self].in_flight || now_us() - w->ask[m->self].asked_us < FOLLOW_PAUSE_US)
 		return;
 	w->ask[m->self].asked_us = now_us();
 	log_info("follow", LOG_STR("pool", m->pool), LOG_STR("member", m->conf.name),
@@ -136,8 +138,8 @@
 }
 
 /**
- * Promoters in order: the failed primary's own home knows first, then the homes of the next
- * members.
+ * Returns this home's rank among the group's homes as a promoter. The home of the failed primary
+ * comes first because it detects the failure first, then the homes of the members after it.
  */
 static unsigned promoter_rank(const struct home_member *m)
 {
@@ -164,13 +166,13 @@
 	follow_check(w);
 }
 
-/** An order from a promoter to a member of this home, on a connection of its own. */
+/** An order received for a member of this home, run on a separate connection. */
 struct order_query {
 	struct home *home;
 	struct rpc_request *rq;
 	const ml_order_args *args;
 	struct db_conn *db;
-	struct event *timer; /**< a member that froze would keep the connection for ever */
+	struct event *timer; /**< ends the query if a frozen member does not answer */
 };
 
 static void order_query_end(struct order_query *q, const ml_order_res *res)
@@ -202,7 +204,7 @@
 		res.ok = strcmp(verdict, "ok") == 0;
 	}
 	if (m != NULL)
-		home_watch_hint(m);
+		home_watch_probe_soon(m);
 	order_query_end(q, &res);
 }
 
--- a/src/home-job.c
+++ b/src/home-job.c
@@ -1,4 +1,4 @@
-/** @file home-job.c One statement on a member: queued, run step by step, and answered once. */
+/** @file home-job.c Runs a statement on a member step by step, and answers it exactly once. */
 #include "home.h"
 
 #include "fleet.h"
@@ -9,7 +9,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/** States of the database that mean: this member takes no writes. */
+/** SQLSTATEs by which a member shows that it accepts no writes or shuts down. */
 #define READ_ONLY_STATE "25006"
 static const char *const not_primary_states[] = {READ_ONLY_STATE, "57P01", "57P02", "57P03"};
 
@@ -27,7 +27,7 @@
 {
 	struct home_member *m = job->m;
 	ml_exec_res res = {.outcome = (int)o};
-	bool tell = o == OUTCOME_DONE || o == OUTCOME_SQL_ERROR;
+	bool with_frames = o == OUTCOME_DONE || o == OUTCOME_SQL_ERROR;
 
 	res.sqlstate = job->sqlstate;
 	res.message = job->message != NULL ? job->message : "";
@@ -37,9 +37,9 @@
 	res.age_us = (u_quad_t)job->age_us;
 	res.transaction = job->tx != NULL ? job->tx->id : 0;
 	res.transaction_failed =
-		job->tx != NULL && job->tx->conn->db->ops->failed(job->tx->conn->db);
+		job->tx != NULL && job->tx->conn->db->ops->in_failed_tx(job->tx->conn->db);
 	res.primary = (char *)home_primary(m, &res.primary_term);
-	if (tell && job->frames != NULL) {
+	if (with_frames && job->frames != NULL) {
 		res.frames.frames_val = (char *)job->frames->data;
 		res.frames.frames_len = job->frames->len;
 	}
@@ -53,8 +53,8 @@
 	m->home->jobs--;
 }
 
-/** The job no longer occupies a slot. */
-static void job_leave_slot(struct home_job *job)
+/** Frees the job's slot. */
+static void job_release_slot(struct home_job *job)
 {
 	struct home_member *m = job->m;
 
@@ -63,8 +63,8 @@
 	event_active(m->dispatch, EV_TIMEOUT, 0);
 }
 
-/** Give the connection back, keep it for the open transaction, or close it. */
-static void job_leave_conn(struct home_job *job, bool close)
+/** Releases the connection: closes it, keeps it for the open transaction, or makes it idle. */
+static void job_release_conn(struct home_job *job, bool close)
 {
 	struct home_conn *c = job->conn;
 
@@ -85,21 +85,21 @@
 		home_conn_close(c);
 		return;
 	}
-	c->idle_looks = 0;
+	c->idle_checks = 0;
 	if (c->tx == NULL)
 		home_conn_release(c);
 }
 
-/** The statement is over, but for what home_job_end() tells. */
+/** Releases slot and connection, and answers with @a o. */
 static void job_finish(struct home_job *job, enum outcome o)
 {
-	job_leave_slot(job);
-	job_leave_conn(job, false);
+	job_release_slot(job);
+	job_release_conn(job, false);
 	home_job_end(job, o, 0);
 }
 
-/** Take over the answer's frames, to be told when the outcome is known. */
-static void job_keep(struct home_job *job, const struct db_result *res)
+/** Keeps the answer's frames and error until the outcome is known. */
+static void job_save_result(struct home_job *job, const struct db_result *res)
 {
 	if (job->frames != NULL)
 		g_byte_array_unref(job->frames);
@@ -109,23 +109,23 @@
 	job->message = g_strdup(res->message);
 }
 
-/** The connection broke, or is silent, in the midst of the job's step. */
+/** Ends the job after its connection broke or went silent during a step. */
 static void job_lost(struct home_job *job)
 {
 	struct home_member *m = job->m;
 	bool in_tx = job->tx != NULL;
 	enum job_step step = job->step;
 
-	job_leave_slot(job);
-	job_leave_conn(job, true);
-	home_watch_hint(m);
+	job_release_slot(job);
+	job_release_conn(job, true);
+	home_watch_probe_soon(m);
 	if (step == JOB_COMMIT) {
-		home_fate_start(job);
+		home_commit_status_start(job);
 		return;
 	}
 	/*
-	 * Before its COMMIT was sent a transaction can't have been committed; a lost connection
-	 * rolls it back.
+	 * COMMIT was not sent, so the transaction cannot have committed: the member rolls it back
+	 * when the connection is lost.
 	 */
 	if (step == JOB_ROLLBACK)
 		home_job_end(job, job->outcome, 0);
@@ -155,14 +155,14 @@
 	return false;
 }
 
-/** Outcome of a statement that the member answered with an error. */
+/** Returns the outcome of a statement that the member answered with an error. */
 static enum outcome error_outcome(const struct home_job *job, const struct db_result *res)
 {
 	if (!means_not_primary(res->sqlstate))
 		return OUTCOME_SQL_ERROR;
 	/*
-	 * A write sent as a kind that reads is the caller's error; no other member would take it
-	 * either.
+	 * A write that the caller declared as a read is the caller's error; the primary would
+	 * reject it as well.
 	 */
 	if (!job->args->write && strcmp(res->sqlstate, READ_ONLY_STATE) == 0)
 		return OUTCOME_SQL_ERROR;
@@ -188,14 +188,14 @@
 	job_finish(job, OUTCOME_DONE);
 }
 
-/** Whether a replica's answer is as new as was asked for; sets the age that was measured. */
+/** Sets the age of the answer's data, and returns whether a replica's answer is recent enough. */
 static enum outcome read_outcome(struct home_job *job, const struct db_result *res)
 {
 	const struct home_member *m = job->m;
 	const ml_exec_args *a = job->args;
 	struct pos token = {a->token.term, a->token.lsn};
 	const struct member_report *own = &m->view.member[m->self].report;
-	enum token_fate fate;
+	enum token_fate status;
 
 	job->age_us = 0;
 	if (!a->as_replica)
@@ -203,16 +203,16 @@
 	job->age_us = group_age_us(&m->view, res->pos.lsn, now_us());
 	if (token.term != 0) {
 		/*
-		 * The position in the answer itself is checked: what the last probe saw may be
+		 * Check the log position in the answer itself; the one of the last probe may be
 		 * older or newer.
 		 */
 		if (res->pos.term < token.term || res->pos.lsn < token.lsn)
 			return OUTCOME_BEHIND;
-		fate = token_fate_in(token, res->pos.term, &own->terms);
-		if (fate == TOKEN_LOST)
+		status = token_fate_in(token, res->pos.term, &own->terms);
+		if (status == TOKEN_LOST)
 			return OUTCOME_TOKEN_LOST;
-		/* Tried again until this member has been looked at. */
-		if (fate == TOKEN_UNKNOWN)
+		/* The read is retried until a probe has fetched this member's term history. */
+		if (status == TOKEN_UNKNOWN)
 			return OUTCOME_BEHIND;
 	}
 	if (a->max_age_us > 0 && job->age_us > (int64_t)a->max_age_us)
@@ -224,7 +224,7 @@
 {
 	enum outcome o;
 
-	job_keep(job, res);
+	job_save_result(job, res);
 	if (res->status == DB_SQL_ERROR) {
 		job_finish(job, error_outcome(job, res));
 		return;
@@ -242,7 +242,7 @@
 	job->pos = res->pos;
 	if (job->tx != NULL) {
 		job->tx->used_us = now_us();
-		job_keep(job, res);
+		job_save_result(job, res);
 		job_finish(job,
 			   res->status == DB_SQL_ERROR ? error_outcome(job, res) : OUTCOME_DONE);
 		return;
@@ -253,13 +253,13 @@
 	}
 	if (job->xid[0] == '\0')
 		g_strlcpy(job->xid, res->value, sizeof(job->xid));
-	job_keep(job, res);
+	job_save_result(job, res);
 	if (res->status == DB_SQL_ERROR) {
-		bool once_taken = job->args->once[0] != '\0' &&
-				  strcmp(res->sqlstate, "23505") == 0 &&
-				  strstr(res->message, "mangoloom_once") != NULL;
+		bool once_used = job->args->once[0] != '\0' &&
+				 strcmp(res->sqlstate, "23505") == 0 &&
+				 strstr(res->message, "mangoloom_once") != NULL;
 
-		job->outcome = once_taken ? OUTCOME_ALREADY_RUN : error_outcome(job, res);
+		job->outcome = once_used ? OUTCOME_ALREADY_RUN : error_outcome(job, res);
 		job_step(job, JOB_ROLLBACK);
 		return;
 	}
@@ -277,22 +277,22 @@
 
 	if (tx) {
 		home_tx_release(job);
-		job_keep(job, res);
+		job_save_result(job, res);
 	}
 	if (res->status == DB_SQL_ERROR) {
-		/* The member itself says that it did not commit. */
+		/* The member reports that it did not commit. */
 		enum outcome o =
 			means_not_primary(res->sqlstate) ? OUTCOME_NOT_PRIMARY : OUTCOME_SQL_ERROR;
 
 		if (!tx)
-			job_keep(job, res);
+			job_save_result(job, res);
 		job_finish(job, tx && o == OUTCOME_NOT_PRIMARY ? OUTCOME_TX_LOST : o);
 		return;
 	}
 	job->pos = res->pos;
 	stat_add(STAT_WRITES, 1);
-	job_leave_slot(job);
-	job_leave_conn(job, false);
+	job_release_slot(job);
+	job_release_conn(job, false);
 	home_confirm_start(job);
 }
 
@@ -300,7 +300,7 @@
 {
 	if (job->args->control == ML_CONTROL_ROLLBACK) {
 		home_tx_release(job);
-		job_keep(job, res);
+		job_save_result(job, res);
 		job->outcome = OUTCOME_DONE;
 	}
 	job_finish(job, job->outcome);
@@ -323,7 +323,10 @@
 		after[job->step](job, res);
 }
 
-/** A once-id as a literal; ids with quotes are refused by the entry VM. */
+/**
+ * Returns the SQL that records the job's once-id, the caller's ID by which a repeated write runs at
+ * most once. The entry refuses IDs with quotes.
+ */
 static char *once_sql(const struct home_job *job)
 {
 	if (job->args->once[0] == '\0')
@@ -339,7 +342,7 @@
 
 	if (!a->write || job->tx != NULL || a->op != ML_SIMPLE)
 		return g_strdup(a->sql);
-	/* One round trip begins the transaction, learns its number and runs the statement. */
+	/* Begin the transaction, read its ID and run the statement in one round trip. */
 	once = once_sql(job);
 	sql = g_strdup_printf("BEGIN;SELECT pg_current_xact_id();%s%s", once, a->sql);
 	q->skip_results = once[0] != '\0' ? 3 : 2;
@@ -404,13 +407,12 @@
 	}
 	sql = step_sql(job, &q);
 	q.sql = sql;
-	job->conn->idle_looks = 0;
+	job->conn->idle_checks = 0;
 	db->ops->query(db, &q, job_answered, job->conn);
 	g_free(sql);
 	g_free(params);
 }
 
-/** Start @a job on @a c. */
 void home_job_start(struct home_job *job, struct home_conn *c)
 {
 	const ml_exec_args *a = job->args;
--- a/src/home-queue.c
+++ b/src/home-queue.c
@@ -1,12 +1,12 @@
-/** @file home-queue.c Statements that come to a member's home: refused, queued, or started. */
+/** @file home-queue.c Statements that arrive at a member's home: refused, queued, or started. */
 #include "home.h"
 
 #include "stat.h"
 
-/** When a member is known to be behind, how old that knowledge may be to refuse on it alone. */
-#define BEHIND_FRESH_US (20 * USEC_PER_MSEC)
+/** Largest age of a report that a read is refused on because the replica is behind. */
+#define BEHIND_REPORT_AGE_MAX_US (20 * USEC_PER_MSEC)
 
-/** Answer without a job. */
+/** Answers a request that gets no job. */
 static void exec_refuse(struct rpc_request *rq, const struct home_member *m, enum outcome o,
 			int64_t retry_after_us)
 {
@@ -18,6 +18,10 @@
 	rpc_reply(rq, &res);
 }
 
+/**
+ * Returns the next job to start. A BEGIN that may not reserve a connection now is moved to
+ * waiting_begin, so that it does not block single statements.
+ */
 static struct home_job *next_job(struct home_member *m)
 {
 	struct home_job *job = TAILQ_FIRST(&m->waiting_begin);
@@ -72,7 +76,7 @@
 	}
 }
 
-void home_expire(struct home_member *m, int64_t now)
+void home_expire_waiting(struct home_member *m, int64_t now)
 {
 	int64_t retry = (int64_t)(m->queue.service_us * m->queue.length / m->queue.slots);
 	struct fairq_item *item;
@@ -88,12 +92,13 @@
 	}
 }
 
-/** Whether the member is known to lack what a read asks for, by what was seen a moment ago. */
+/** Returns whether a recent report shows that the replica lacks the data that the read requires. */
 static bool known_behind(const struct home_member *m, const ml_exec_args *a, int64_t now)
 {
 	const struct member_view *v = &m->view.member[m->self];
 
-	if (!a->as_replica || v->state != MEMBER_UP || now - v->reported_us > BEHIND_FRESH_US)
+	if (!a->as_replica || v->state != MEMBER_UP ||
+	    now - v->reported_us > BEHIND_REPORT_AGE_MAX_US)
 		return false;
 	if (a->token.lsn > v->report.applied_lsn)
 		return true;
@@ -101,7 +106,7 @@
 	       group_age_us(&m->view, v->report.applied_lsn, now) > (int64_t)a->max_age_us;
 }
 
-/** What must be refused before it is queued; OUTCOME_DONE for nothing. */
+/** Returns why the statement must be refused without queueing, or OUTCOME_DONE. */
 static enum outcome exec_check(const struct home_member *m, const ml_exec_args *a)
 {
 	if (conf_member_leaves(&m->conf) || !m->configured || m->home->draining)
@@ -110,7 +115,7 @@
 		return OUTCOME_NO_CONNECTION;
 	if (a->as_replica)
 		return known_behind(m, a, now_us()) ? OUTCOME_BEHIND : OUTCOME_DONE;
-	if (!home_leads(m))
+	if (!home_accepts_writes(m))
 		return OUTCOME_NOT_PRIMARY;
 	if (a->token.term != 0) {
 		struct pos token = {a->token.term, a->token.lsn};
@@ -118,11 +123,8 @@
 		if (token_fate(token, &m->view.member[m->self].report.terms) == TOKEN_LOST)
 			return OUTCOME_TOKEN_LOST;
 	}
-	/*
-	 * A write that no replica could confirm would end with an outcome that nobody knows; better
-	 * not begun.
-	 */
-	if (a->write && !home_confirmable(m))
+	/* A write that no replica could confirm would end with an unknown outcome. */
+	if (a->write && !home_can_confirm(m))
 		return OUTCOME_NO_CONNECTION;
 	return OUTCOME_DONE;
 }
@@ -143,7 +145,7 @@
 	return job;
 }
 
-/** A statement of an open transaction: its connection waits for it alone. */
+/** Runs a statement of an open transaction, without queueing, on the transaction's connection. */
 static void exec_in_tx(struct home_member *m, struct rpc_request *rq, const ml_exec_args *a)
 {
 	struct home_tx *tx = home_tx_find(m, a->transaction);
@@ -173,7 +175,7 @@
 	struct home_job *job;
 	enum outcome o;
 
-	h->asked_us = now_us();
+	h->last_exec_us = now_us();
 	if (m == NULL) {
 		exec_refuse(rq, NULL, OUTCOME_LEAVING, 0);
 		return;
--- a/src/home-silent.c
+++ b/src/home-silent.c
@@ -1,7 +1,7 @@
 /**
  * @file home-silent.c
- * Connections that went silent under a job: the member is asked which of its connections it works
- * on.
+ * Detects connections that went silent while a job runs, by comparison with the member's list of
+ * active backends.
  */
 #include "home-watch.h"
 
@@ -13,10 +13,10 @@
 #include <stdio.h>
 #include <string.h>
 
-/** A job that runs for longer is looked for in the member's list of work. */
+/** A job that runs for longer is looked up in the member's list of active backends. */
 #define SILENT_AFTER_US (400 * USEC_PER_MSEC)
-/** Looks at which the member must show no work on a connection before it counts as silent. */
-#define SILENT_LOOKS 3
+/** Consecutive checks without an active backend after which a connection counts as silent. */
+#define SILENT_CHECKS 3
 
 static bool pid_listed(const char *list, int pid)
 {
@@ -28,7 +28,7 @@
 	return strstr(all, wanted) != NULL;
 }
 
-static void work_answered(struct db_conn *db, const struct db_result *res, void *arg)
+static void activity_answered(struct db_conn *db, const struct db_result *res, void *arg)
 {
 	struct watch_link *l = arg;
 	struct home_member *m = l->w->m;
@@ -43,20 +43,20 @@
 		if (c->job == NULL || now_us() - c->job->started_us < SILENT_AFTER_US)
 			continue;
 		if (pid_listed(res->value, c->db->ops->backend_pid(c->db))) {
-			c->idle_looks = 0;
+			c->idle_checks = 0;
 			continue;
 		}
 		/*
-		 * The member runs nothing on this connection although its answer is awaited: the
-		 * statement never arrived, or the answer went nowhere. Waiting on would hold the
-		 * caller until its deadline.
+		 * The member has no active backend for this connection although a job waits for its
+		 * answer: the statement or the answer was lost. Without this check the caller would
+		 * wait until its deadline.
 		 */
-		if (++c->idle_looks >= SILENT_LOOKS)
+		if (++c->idle_checks >= SILENT_CHECKS)
 			home_job_silent(c->job);
 	}
 }
 
-static void work_opened(struct db_conn *db, bool ok, const char *why, void *arg)
+static void activity_opened(struct db_conn *db, bool ok, const char *why, void *arg)
 {
 	struct watch_link *l = arg;
 
@@ -66,7 +66,7 @@
 		l->open = true;
 }
 
-static bool work_needed(const struct home_member *m, int64_t now)
+static bool activity_needed(const struct home_member *m, int64_t now)
 {
 	struct home_conn *c;
 
@@ -81,23 +81,23 @@
 {
 	struct db_query q = {.sql = "SELECT string_agg(pid::text, ',') FROM pg_stat_activity WHERE "
 				    "state = 'active'"};
-	struct watch_link *l = &w->work;
+	struct watch_link *l = &w->activity;
 
 	if (l->busy && now - l->asked_us > watch_timeout_us(w))
 		watch_link_close(l);
-	if (!work_needed(w->m, now)) {
+	if (!activity_needed(w->m, now)) {
 		if (!l->busy && l->open)
 			watch_link_close(l);
 		return;
 	}
 	if (l->db == NULL) {
 		l->db = db_libpq_ops.open(w->m->home->service.kernel, w->m->conf.address,
-					  w->m->pool, watch_timeout_us(w), work_opened, l);
+					  w->m->pool, watch_timeout_us(w), activity_opened, l);
 		return;
 	}
 	if (!l->open || l->busy)
 		return;
 	l->busy = true;
 	l->asked_us = now;
-	l->db->ops->query(l->db, &q, work_answered, l);
+	l->db->ops->query(l->db, &q, activity_answered, l);
 }
--- a/src/home-tx.c
+++ b/src/home-tx.c
@@ -1,15 +1,12 @@
 /**
- * @file home-tx.c Callers' open transactions: each keeps one connection of the member for itself.
+ * @file home-tx.c Callers' open transactions: each reserves one connection of the member.
  */
 #include "home.h"
 
 #include "log.h"
 
-/**
- * A transaction that its caller leaves alone for longer is rolled back: it holds one of few
- * connections.
- */
-#define TX_IDLE_US (60 * USEC_PER_SEC)
+/** A transaction idle for longer is rolled back, because it holds one of few connections. */
+#define TX_IDLE_MAX_US (60 * USEC_PER_SEC)
 
 void home_tx_begin(struct home_job *job)
 {
@@ -44,7 +41,7 @@
 
 	log_info("transaction-dropped", LOG_STR("pool", m->pool), LOG_STR("member", m->conf.name));
 	tx_unpin(m, tx);
-	/* Closing makes the member roll back, whatever state the connection is in. */
+	/* Closing makes the member roll back, in any state of the connection. */
 	if (c != NULL)
 		home_conn_close(c);
 }
@@ -54,7 +51,7 @@
 	struct home_tx *tx, *next;
 
 	TAILQ_FOREACH_SAFE(tx, &m->txs, link, next) {
-		if (tx->conn->job == NULL && (tx->orphan || now - tx->used_us > TX_IDLE_US))
+		if (tx->conn->job == NULL && (tx->orphan || now - tx->used_us > TX_IDLE_MAX_US))
 			home_tx_end(m, tx);
 	}
 }
--- a/src/home-watch.c
+++ b/src/home-watch.c
@@ -1,6 +1,6 @@
 /**
  * @file home-watch.c
- * Watching a member: probes over a kept connection and over a fresh one, reports, and waiting for
+ * Monitors a member: probes over a kept connection or a fresh one, reports, and waiting for log
  * positions.
  */
 #include "home-watch.h"
@@ -13,12 +13,12 @@
 #include <stdio.h>
 #include <string.h>
 
-/** Longest wait of the member for a position, in one query. */
+/** Longest time that the member waits for a log position in one query. */
 #define WAIT_QUERY_MS 100
-/** Part of the time for an answer after which a fresh connection is tried as well. */
-#define FRESH_PART 3
-/** Pause before a member that can't be reached is tried again. */
-#define DOWN_PAUSE_US (100 * USEC_PER_MSEC)
+/** A fresh connection is opened as well after this fraction of the probe timeout. */
+#define FRESH_TIMEOUT_DIVISOR 3
+/** Interval of probes of a member that is down. */
+#define DOWN_PROBE_INTERVAL_US (100 * USEC_PER_MSEC)
 
 const char *watch_address_of(struct home_watch *w, int i)
 {
@@ -38,8 +38,8 @@
 /* Reports */
 
 /**
- * Parse "role seen term lsn applied upstream term:lsn,..." as the member's status function tells
- * it.
+ * Parses "role seen term lsn applied upstream term:lsn,...", the result of the member's status
+ * function.
  */
 static bool report_parse(const char *text, struct member_report *r)
 {
@@ -101,8 +101,11 @@
 	rpc_reply(rq, &res);
 }
 
-static bool waiter_served(const struct home_watch *w, const struct watch_waiter *waiter,
-			  int64_t now)
+/**
+ * Returns whether the request is to be answered now: the member has the position, is down or in a
+ * later term, or the wait has ended.
+ */
+static bool waiter_done(const struct home_watch *w, const struct watch_waiter *waiter, int64_t now)
 {
 	const struct member_view *v = &w->m->view.member[w->m->self];
 
@@ -118,7 +121,7 @@
 	int64_t now = now_us();
 
 	TAILQ_FOREACH_SAFE(waiter, &w->waiters, link, next) {
-		if (!waiter_served(w, waiter, now))
+		if (!waiter_done(w, waiter, now))
 			continue;
 		TAILQ_REMOVE(&w->waiters, waiter, link);
 		member_reply(w, waiter->rq);
@@ -126,7 +129,8 @@
 	}
 }
 
-static void watch_learned(struct home_watch *w)
+/** Answers waiting requests and commits after the state of the group may have changed. */
+static void watch_state_changed(struct home_watch *w)
 {
 	waiters_check(w);
 	home_confirm_check(w->m);
@@ -166,7 +170,7 @@
 	home_conn_trim(m, INT64_MAX);
 	home_drop_running(m);
 	home_refuse_waiting(m, OUTCOME_NO_CONNECTION);
-	watch_learned(w);
+	watch_state_changed(w);
 }
 
 /* Probes */
@@ -184,7 +188,7 @@
 	l->db->ops->query(l->db, &q, cb, l);
 }
 
-/** Take in a status. @return false when the connection is of no more use. */
+/** Processes a status answer. @return false when the connection had to be closed. */
 static bool link_answer(struct watch_link *l, const struct db_result *res)
 {
 	struct home_watch *w = l->w;
@@ -196,7 +200,7 @@
 		return false;
 	}
 	watch_report(w, w->m->self, &r, l->asked_us);
-	watch_learned(w);
+	watch_state_changed(w);
 	return true;
 }
 
@@ -220,8 +224,9 @@
 		return;
 	}
 	/*
-	 * The member lives, so the kept connection had gone silent or was closed. Others may have
-	 * with it; unused ones are dropped now, and those with a job are looked at one by one.
+	 * The member is up, so the kept connection had gone silent or was closed, and the same may
+	 * hold for other connections. Idle ones are closed now; those with a job are checked one
+	 * by one, see home-silent.c.
 	 */
 	watch_link_close(&w->probe);
 	home_conn_trim(w->m, INT64_MAX);
@@ -261,18 +266,18 @@
 					fresh_opened, &w->fresh);
 }
 
-/** The kept connection has not answered in time: look over a fresh one. */
+/** Probes over a fresh connection if the kept one has not answered in time. */
 static void probe_check(struct home_watch *w, int64_t now)
 {
 	struct watch_link *f = &w->fresh;
 
 	/*
-	 * Both looks run side by side from here on: one after the other would take twice as long to
-	 * find a dead member.
+	 * Both probes run in parallel from here on; one after the other would take twice as long to
+	 * detect a member that is down.
 	 */
-	if (w->probe.busy && now - w->probe.asked_us > watch_timeout_us(w) / FRESH_PART)
+	if (w->probe.busy && now - w->probe.asked_us > watch_timeout_us(w) / FRESH_TIMEOUT_DIVISOR)
 		fresh_open(w);
-	/* A silent member accepts the connection and says nothing on it. */
+	/* A frozen member accepts the connection but does not answer on it. */
 	if (f->db != NULL && f->busy && now - f->asked_us > watch_timeout_us(w)) {
 		watch_link_close(f);
 		watch_down(w);
@@ -284,10 +289,10 @@
 	int64_t period = (int64_t)w->m->home->service.kernel->settings->probe_ms * USEC_PER_MSEC;
 
 	if (w->m->view.member[w->m->self].state == MEMBER_DOWN)
-		period = DOWN_PAUSE_US;
-	if (!w->hint && now - w->probed_us < period)
+		period = DOWN_PROBE_INTERVAL_US;
+	if (!w->probe_now && now - w->probed_us < period)
 		return;
-	w->hint = false;
+	w->probe_now = false;
 	w->probed_us = now;
 	if (w->probe.db == NULL) {
 		fresh_open(w);
@@ -315,7 +320,7 @@
 
 	if (!ok) {
 		watch_link_close(l);
-		home_watch_hint(l->w->m);
+		home_watch_probe_soon(l->w->m);
 		return;
 	}
 	l->open = true;
@@ -369,10 +374,10 @@
 
 /* The watch */
 
-void home_watch_hint(struct home_member *m)
+void home_watch_probe_soon(struct home_member *m)
 {
 	if (m->watch != NULL)
-		m->watch->hint = true;
+		m->watch->probe_now = true;
 }
 
 static void watch_tick(evutil_socket_t fd, short what, void *arg)
@@ -384,7 +389,7 @@
 	probe_start(w, now);
 	wait_check(w, now);
 	watch_silent_check(w, now);
-	watch_ask_round(w, now);
+	watch_request_reports(w, now);
 	home_confirm_check(w->m);
 	watch_failover_check(w, now);
 }
@@ -399,40 +404,40 @@
 	w->probe.w = w;
 	w->fresh.w = w;
 	w->wait.w = w;
-	w->work.w = w;
-	w->hint = true;
+	w->activity.w = w;
+	w->probe_now = true;
 	TAILQ_INIT(&w->waiters);
 	m->watch = w;
 	w->tick = kernel_every(m->home->service.kernel, WATCH_TICK_US, watch_tick, w);
 	probe_start(w, now_us());
 }
 
-/** Calls that are out, of all watches. */
-static GHashTable *calls_out;
+/** RPCs in flight, of all watches. */
+static GHashTable *calls_in_flight;
 
-void watch_call_out(void *call)
+void watch_call_started(void *call)
 {
-	if (calls_out == NULL)
-		calls_out = g_hash_table_new(NULL, NULL);
-	g_hash_table_add(calls_out, call);
+	if (calls_in_flight == NULL)
+		calls_in_flight = g_hash_table_new(NULL, NULL);
+	g_hash_table_add(calls_in_flight, call);
 }
 
-void watch_call_in(void *call)
+void watch_call_ended(void *call)
 {
-	g_hash_table_remove(calls_out, call);
+	g_hash_table_remove(calls_in_flight, call);
 }
 
-/** Calls that are out must not touch a watch that has ended. */
-static void forget_calls(struct home_watch *w)
+/** Detaches the RPCs in flight from a watch that ends. */
+static void detach_calls(struct home_watch *w)
 {
 	GHashTableIter iter;
 	gpointer key;
 
-	if (calls_out == NULL)
+	if (calls_in_flight == NULL)
 		return;
-	g_hash_table_iter_init(&iter, calls_out);
+	g_hash_table_iter_init(&iter, calls_in_flight);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
-		/* Both kinds of call begin with the watch. */
+		/* The pointer to the watch is the first member of each registered struct. */
 		struct home_watch **owner = key;
 
 		if (*owner == w)
@@ -446,7 +451,7 @@
 	struct watch_waiter *waiter;
 
 	m->watch = NULL;
-	forget_calls(w);
+	detach_calls(w);
 	while ((waiter = TAILQ_FIRST(&w->waiters)) != NULL) {
 		TAILQ_REMOVE(&w->waiters, waiter, link);
 		member_reply(w, waiter->rq);
@@ -455,7 +460,7 @@
 	watch_link_close(&w->probe);
 	watch_link_close(&w->fresh);
 	watch_link_close(&w->wait);
-	watch_link_close(&w->work);
+	watch_link_close(&w->activity);
 	event_free(w->tick);
 	g_free(w);
 }
--- a/src/home-watch.h
+++ b/src/home-watch.h
@@ -1,18 +1,18 @@
 /**
  * @file home-watch.h
- * The state of one member's watch, shared by the files that make it up.
+ * State of the monitoring of one member, shared by the files that implement it.
  *
- * home-watch.c     probes, reports, waiting for positions, the watch's life
- * home-silent.c    connections that went silent under a job
- * home-ask.c       reports of the homes of the group's other members
- * home-failover.c  the change of primary: orders out, orders in
+ * home-watch.c     probes, reports, waiting for log positions, start and stop
+ * home-silent.c    connections that went silent while a job runs
+ * home-ask.c       reports from the homes of the group's other members
+ * home-failover.c  failover: orders sent to other homes and received from them
  */
 #ifndef HOME_WATCH_H
 #define HOME_WATCH_H
 
 #include "home.h"
 
-/** A control connection and what it is doing. */
+/** A monitoring connection and its state. */
 struct watch_link {
 	struct home_watch *w;
 	struct db_conn *db;
@@ -21,7 +21,7 @@
 	int64_t asked_us;
 };
 
-/** Another home's request to be answered when the member has a position. */
+/** A request of another home that is answered once the member has a log position. */
 struct watch_waiter {
 	TAILQ_ENTRY(watch_waiter) link;
 	struct rpc_request *rq;
@@ -33,43 +33,45 @@
 struct home_watch {
 	struct home_member *m;
 	struct event *tick;
-	struct watch_link probe; /**< kept */
-	struct watch_link fresh; /**< opened when the kept one fails */
-	struct watch_link wait;	 /**< waits for positions */
-	struct watch_link work;	 /**< asks for the member's list of work */
+	struct watch_link probe;    /**< kept connection for probes */
+	struct watch_link fresh;    /**< opened for a probe when the kept connection fails */
+	struct watch_link wait;	    /**< waits for log positions */
+	struct watch_link activity; /**< queries the member's active backends */
 	int64_t probed_us;
-	bool hint; /**< probe at the next tick */
+	bool probe_now; /**< probe at the next tick */
 	struct watch_waiters waiters;
 	struct failover failover;
 	struct {
-		bool out;
+		bool in_flight; /**< an RPC is in flight */
 		int64_t asked_us;
-		int64_t failing_us; /**< since when its homes do not answer; 0 for none */
-		bool again;	    /**< a commit waits for this member's next answer */
-		int64_t unmet_us;   /**< when it last answered without what a commit waits for */
+		int64_t failing_since_us; /**< since when its homes do not answer; 0 if they do */
+		bool recheck;		  /**< a commit waits for this member's next answer */
+		int64_t behind_us;	  /**< when its last answer lacked the commit waited for */
 	} ask[GROUP_MEMBERS_MAX];
 };
 
-/** RPC address of the home of member @a i; NULL when none is known. */
+/** Returns the RPC address of the home of member @a i; NULL if none is known. */
 const char *watch_address_of(struct home_watch *w, int i);
 void watch_link_close(struct watch_link *l);
 int64_t watch_timeout_us(const struct home_watch *w);
-/** Take in a report of member @a i for which the request was sent at @a asked_us. */
+/** Processes a report of member @a i whose request was sent at @a asked_us. */
 void watch_report(struct home_watch *w, int i, const struct member_report *r, int64_t asked_us);
+/** Records that member @a i is not reachable, with its new state. */
 void watch_unreachable(struct home_watch *w, int i, enum member_state state);
 /**
- * A call is out for a watch; what it points to begins with a pointer to that watch, which is
- * cleared when the watch ends before the call does.
+ * Registers an RPC made for a watch. @a call points to a struct whose first member is the pointer
+ * to the watch; that pointer is set to NULL if the watch ends before the RPC does.
  */
-void watch_call_out(void *call);
-void watch_call_in(void *call);
+void watch_call_started(void *call);
+/** Unregisters an RPC that has ended. */
+void watch_call_ended(void *call);
 
 /* home-silent.c */
 void watch_silent_check(struct home_watch *w, int64_t now);
 
 /* home-ask.c */
-/** Ask the other homes that are due. */
-void watch_ask_round(struct home_watch *w, int64_t now);
+/** Requests a report from each other home that is due to be asked. */
+void watch_request_reports(struct home_watch *w, int64_t now);
 
 /* home-failover.c */
 void watch_failover_check(struct home_watch *w, int64_t now);
--- a/src/home.c
+++ b/src/home.c
@@ -1,4 +1,4 @@
-/** @file home.c Members that this VM serves, and the RPC procedures. */
+/** @file home.c Members whose home is this VM, and the RPC procedures. */
 #include "home.h"
 
 #include "fleet.h"
@@ -8,10 +8,10 @@
 #include <string.h>
 
 #define TICK_US (50 * USEC_PER_MSEC)
-/** A member that is neither placed here nor used is let go after this. */
-#define UNUSED_US (10 * USEC_PER_SEC)
-/** A home that is leaving ends when no statement has come for this long. */
-#define QUIET_US (200 * USEC_PER_MSEC)
+/** A member that is neither placed here nor used is released after this time. */
+#define RELEASE_AFTER_US (10 * USEC_PER_SEC)
+/** A draining home ends once no statement has arrived for this long. */
+#define DRAIN_QUIET_US (200 * USEC_PER_MSEC)
 
 struct home *home_of(struct kernel *k)
 {
@@ -29,7 +29,7 @@
 	return m->view.member[primary].name;
 }
 
-bool home_leads(const struct home_member *m)
+bool home_accepts_writes(const struct home_member *m)
 {
 	return group_primary(&m->view) == m->self && m->view.member[m->self].state == MEMBER_UP;
 }
@@ -129,9 +129,9 @@
 }
 
 /**
- * Whether a member in @a data_center may have its home here. Members of a data centre that has VMs
- * of its own need not be ranked: at thousands of databases, ranking them all would stop the loop
- * for a quarter of a second at each change.
+ * Returns whether a member in @a data_center may have its home here. A member of another data
+ * centre that has VMs never has, and is not ranked: with thousands of databases, ranking all of
+ * them would block the event loop for 250 ms at each change.
  */
 static bool may_be_home(struct home *h, GHashTable *served, const char *data_center)
 {
@@ -147,7 +147,7 @@
 	return !GPOINTER_TO_INT(known);
 }
 
-void home_place(struct home *h)
+void home_update_placement(struct home *h)
 {
 	GHashTable *served = g_hash_table_new(g_str_hash, g_str_equal);
 	struct fleet *f = fleet_of(h->service.kernel);
@@ -184,7 +184,7 @@
 static bool member_unused(const struct home_member *m, int64_t now)
 {
 	return m->jobs == 0 && TAILQ_EMPTY(&m->txs) && m->n_opening == 0 &&
-	       now - m->used_us > UNUSED_US;
+	       now - m->used_us > RELEASE_AFTER_US;
 }
 
 static void home_tick(evutil_socket_t fd, short what, void *arg)
@@ -195,13 +195,10 @@
 	int64_t now = now_us();
 
 	TAILQ_FOREACH_SAFE(m, &h->members, link, next) {
-		home_expire(m, now);
+		home_expire_waiting(m, now);
 		home_confirm_expire(m, now);
 		home_tx_expire(m, now);
-		/*
-		 * Connections to a member that another VM is home to now are given up as soon as
-		 * they are unused.
-		 */
+		/* Close idle connections at once if the member has another home now. */
 		home_conn_trim(m, m->placed && m->configured && !conf_member_leaves(&m->conf)
 					  ? now - hold
 					  : now);
@@ -211,8 +208,8 @@
 	}
 }
 
-/** An entry VM is gone: the transactions of its callers end with it. */
-static void entry_gone(uint64_t conn, void *owner)
+/** Ends the transactions of callers whose entry's RPC connection has closed. */
+static void entry_closed(uint64_t conn, void *owner)
 {
 	struct home *h = owner;
 	struct home_member *m;
@@ -231,7 +228,7 @@
 
 static void placement_changed(void *owner)
 {
-	home_place(owner);
+	home_update_placement(owner);
 }
 
 static gboolean home_start(struct service *s, GError **error)
@@ -242,8 +239,8 @@
 	rpc_serve(rpc, ML_EXEC, home_exec, h);
 	rpc_serve(rpc, ML_MEMBER, home_member_serve, h);
 	rpc_serve(rpc, ML_ORDER, home_order_serve, h);
-	rpc_serve(rpc, ML_FATE, home_fate_serve, h);
-	rpc_on_closed(rpc, entry_gone, h);
+	rpc_serve(rpc, ML_FATE, home_commit_status_serve, h);
+	rpc_on_closed(rpc, entry_closed, h);
 	fleet_listen(fleet_of(s->kernel), placement_changed, h);
 	h->tick = kernel_every(s->kernel, TICK_US, home_tick, h);
 	return TRUE;
@@ -266,11 +263,11 @@
 			return false;
 	}
 	/*
-	 * A statement that is on its way here when the process ends has an outcome that nobody
-	 * knows. The other VMs are refused with "leaving" until they have all heard and none asks
-	 * any more.
+	 * The outcome of a statement that is in transit to this process when it ends would be
+	 * unknown. So the process keeps refusing statements with "leaving" until all other VMs
+	 * know that it leaves and no statement arrives any more.
 	 */
-	return h->jobs == 0 && now_us() - h->asked_us > QUIET_US;
+	return h->jobs == 0 && now_us() - h->last_exec_us > DRAIN_QUIET_US;
 }
 
 static void home_stop(struct service *s)
--- a/src/home.h
+++ b/src/home.h
@@ -1,17 +1,20 @@
 /**
  * @file home.h
- * The home of database members: the one VM that holds a member's connections, runs callers'
- * statements on them, watches the member, and takes part in the change of primary. Which VM that is
- * follows from the membership alone.
+ * The home of a member. A member is one database server of a replicated group, and a pool is such a
+ * group as configured. The home is the one daemon that holds a member's connections and the queue
+ * of its statements, runs callers' statements, monitors the member, and takes part in failover of
+ * its group. Every VM derives the home of a member from the fleet's membership alone. The entry is
+ * the daemon that a caller is connected to; it sends the caller's statements to the home by RPC.
+ * A session token is the log position up to which a session's later reads must see the data.
  *
- * home.c         members and the RPC procedures
- * home-conn.c    connections of one member
- * home-queue.c   statements that come: refused, queued, started
- * home-job.c     one statement, step by step
- * home-tx.c      callers' open transactions
- * home-confirm.c acknowledgement by a majority
- * home-fate.c    what became of a commit whose answer was lost
- * home-watch.c   watching the member; see home-watch.h
+ * home.c               members and the RPC procedures
+ * home-conn.c          connections of one member
+ * home-queue.c         incoming statements: refused, queued, or started
+ * home-job.c           execution of one statement, step by step
+ * home-tx.c            callers' open transactions
+ * home-confirm.c       acknowledgement of commits by a majority of the group
+ * home-commit-status.c commit status of a transaction whose answer to COMMIT was lost
+ * home-watch.c         monitoring of the member; see home-watch.h
  */
 #ifndef HOME_H
 #define HOME_H
@@ -25,9 +28,12 @@
 #include "outcome.h"
 #include "rpc.h"
 
-/** Connections of a member that serve no statements: two for watching, and one for a fresh look. */
+/**
+ * Connections of a member that are reserved for monitoring: two that are kept, and one that is
+ * opened to check the member when a kept one does not answer.
+ */
 #define HOME_CONTROL_CONNECTIONS 3
-/** Transactions waiting for a connection, at most. */
+/** Most transactions that wait for a connection. */
 #define HOME_BEGIN_WAIT_MAX 256
 
 struct home;
@@ -36,17 +42,17 @@
 struct home_tx;
 struct home_watch;
 
-/** A connection that serves statements. */
+/** A connection that runs callers' statements. */
 struct home_conn {
 	TAILQ_ENTRY(home_conn) link;
 	struct home_member *m;
 	struct db_conn *db;
-	struct home_job *job; /**< the statement on it, or NULL */
-	struct home_tx *tx;   /**< the transaction that it is kept for, or NULL */
+	struct home_job *job; /**< the running statement, or NULL */
+	struct home_tx *tx;   /**< the open transaction that it is reserved for, or NULL */
 	bool open;
-	int64_t idle_us;     /**< since when it is unused */
-	unsigned idle_looks; /**< looks in a row at which the member saw no work on it, while a job
-				waits */
+	int64_t idle_us;      /**< since when it is unused */
+	unsigned idle_checks; /**< consecutive checks at which the member reported no active backend
+				for it, although a job waits for its answer */
 };
 TAILQ_HEAD(home_conns, home_conn);
 
@@ -55,25 +61,25 @@
 	TAILQ_ENTRY(home_tx) link;
 	uint64_t id;
 	struct home_conn *conn;
-	uint64_t rpc_conn; /**< the entry VM's connection; the transaction ends with it */
+	uint64_t rpc_conn; /**< RPC connection of the entry; the transaction ends with it */
 	char xid[NAME_SIZE];
 	bool write;
-	bool orphan; /**< its entry VM is gone */
+	bool orphan; /**< the connection of its entry has closed */
 	int64_t used_us;
 };
 TAILQ_HEAD(home_txs, home_tx);
 
 enum job_step {
 	JOB_QUEUED,
-	JOB_PROLOGUE,  /**< begin the transaction and learn its number */
-	JOB_STATEMENT, /**< the caller's statement; for a simple write together with the prologue */
+	JOB_PROLOGUE,  /**< begins the transaction and reads its transaction ID */
+	JOB_STATEMENT, /**< the caller's statement; for a simple write with the prologue in front */
 	JOB_COMMIT,
-	JOB_ROLLBACK, /**< after an error */
-	JOB_FATE,     /**< the commit's answer was lost */
-	JOB_CONFIRM,  /**< committed; waits for a majority */
+	JOB_ROLLBACK,	   /**< after an error */
+	JOB_COMMIT_STATUS, /**< the answer to COMMIT was lost; determines the commit status */
+	JOB_CONFIRM,	   /**< committed; waits until a majority of the group has the commit */
 };
 
-/** One statement that an entry VM asked for. */
+/** One statement received from an entry. */
 struct home_job {
 	struct fairq_item item;
 	TAILQ_ENTRY(home_job) link; /**< in waiting_begin or unconfirmed */
@@ -83,17 +89,17 @@
 	struct home_conn *conn;
 	struct home_tx *tx;
 	enum job_step step;
-	enum outcome outcome; /**< to tell after a rollback */
+	enum outcome outcome; /**< outcome to return after the rollback */
 	int64_t deadline_us;
 	int64_t started_us;
 	char xid[NAME_SIZE];
 	int backend_pid;
-	GByteArray *frames; /**< the answer, held until it may be told */
+	GByteArray *frames; /**< the answer, kept until it may be returned */
 	char sqlstate[6];
 	char *message;
 	struct pos pos;
 	int64_t age_us;
-	bool has[GROUP_MEMBERS_MAX]; /**< replicas seen with the commit */
+	bool replicated[GROUP_MEMBERS_MAX]; /**< replicas that reported having the commit */
 };
 TAILQ_HEAD(home_jobs, home_job);
 
@@ -103,25 +109,25 @@
 	char pool[NAME_SIZE];
 	struct conf_member conf;
 	enum confirm_mode confirm;
-	bool configured; /**< still in the table of pools */
-	bool placed;	 /**< this VM is its home, as the membership is known */
+	bool configured; /**< present in the configured pools */
+	bool placed;	 /**< this VM is its home according to the present membership */
 	int64_t used_us;
 
 	struct fairq queue;
-	unsigned running; /**< jobs in a slot */
-	unsigned jobs;	  /**< jobs that have not been answered */
+	unsigned running; /**< jobs that occupy a slot */
+	unsigned jobs;	  /**< jobs that are not answered yet */
 	struct home_conns conns;
 	unsigned n_conns;
 	unsigned n_opening;
 	unsigned n_pinned;
-	int64_t open_after_us; /**< the member refused a connection; none is tried before */
+	int64_t open_after_us; /**< no connection is opened before this time: one was refused */
 	struct home_txs txs;
 	struct home_jobs waiting_begin;
-	struct home_jobs unconfirmed; /**< by commit */
+	struct home_jobs unconfirmed; /**< in the order of their commits */
 	struct event *dispatch;
 
 	struct group_view view;
-	int self; /**< index in the view */
+	int self; /**< index of this member in the view */
 	struct home_watch *watch;
 };
 TAILQ_HEAD(home_members, home_member);
@@ -129,99 +135,106 @@
 struct home {
 	struct service service;
 	struct home_members members;
-	GHashTable *by_name; /**< "pool member" */
+	GHashTable *by_name; /**< key: "pool member" */
 	uint64_t next_tx;
 	unsigned jobs;
 	struct event *tick;
-	int64_t asked_us; /**< when a statement last came */
+	int64_t last_exec_us; /**< when the last statement arrived */
 	bool draining;
 };
 
 struct service *home_service_create(struct kernel *k);
 struct home *home_of(struct kernel *k);
-/** The member, made known if this VM has not served it yet; NULL when no table names it. */
+/** Returns the member, created on first use; NULL if no pool is configured with it. */
 struct home_member *home_member_get(struct home *h, const char *pool, const char *member);
-/** The configuration or the membership changed: see which members are placed here. */
-void home_place(struct home *h);
-/** The member that leads, as far as is known here, and its term. @return its name, or "". */
+/** Determines which members have their home here, after a change of configuration or membership. */
+void home_update_placement(struct home *h);
+/** Returns the name of the primary known here, or "", and sets its term. */
 const char *home_primary(const struct home_member *m, uint64_t *term);
-/** Whether this member may take writes, as far as is known here. */
-bool home_leads(const struct home_member *m);
-/** Members for `mangoloom status`. */
+/** Returns whether this member is up and, as known here, the primary: it accepts writes. */
+bool home_accepts_writes(const struct home_member *m);
+/** Writes the members for `mangoloom status`. */
 void home_json(struct home *h, JsonBuilder *b);
 
 /* home-conn.c */
+/** Returns an open connection without a job or a transaction, or NULL. */
 struct home_conn *home_conn_idle(struct home_member *m);
-/** Open one more connection if the member's limit allows. */
+/** Opens one more connection if the member's limit allows. */
 void home_conn_open(struct home_member *m);
 unsigned home_conn_limit(const struct home_member *m);
 void home_conn_close(struct home_conn *c);
-/** Put an unused connection back, or close it when it is not at rest. */
+/** Returns a connection to the idle ones, or closes it if it is inside a transaction. */
 void home_conn_release(struct home_conn *c);
-/** Close connections that were not used for long, or all unused ones. */
+/** Closes connections that are idle since @a idle_before_us or longer. */
 void home_conn_trim(struct home_member *m, int64_t idle_before_us);
 
 /* home-queue.c */
 void home_exec(struct rpc_request *rq, const void *args, void *owner);
-/** Start what can be started. */
+/** Starts queued jobs while there are free slots and connections. */
 void home_dispatch(struct home_member *m);
-/** Refuse all that waits, with @a o. */
+/** Ends all waiting jobs with @a o. */
 void home_refuse_waiting(struct home_member *m, enum outcome o);
-/** Refuse what waited past its deadline. */
-void home_expire(struct home_member *m, int64_t now);
+/** Ends waiting jobs whose deadline has passed. */
+void home_expire_waiting(struct home_member *m, int64_t now);
 
 /* home-job.c */
-/** Start @a job on @a c. */
+/** Starts @a job on @a c. */
 void home_job_start(struct home_job *job, struct home_conn *c);
-/** End a job: answer with @a o and free it. */
+/** Answers the job with @a o and frees it. */
 void home_job_end(struct home_job *job, enum outcome o, int64_t retry_after_us);
-/** The job's connection was found silent. */
+/** Ends the job because the member does not work on its connection; the connection is closed. */
 void home_job_silent(struct home_job *job);
 /**
- * The member is down: statements and transactions on it end now. Closing their connections rolls
- * back what was not committed, also when the member was only frozen, and commits under way are
- * asked for by their fate.
+ * Ends all running statements and open transactions of a member that is down, and closes their
+ * connections. The close rolls back uncommitted work, even if the member was only frozen; for
+ * commits in progress the commit status is determined.
  */
 void home_drop_running(struct home_member *m);
 
 /* home-tx.c */
-/** Keep the job's connection for the caller's transaction that it has begun. */
+/** Reserves the job's connection for the transaction that the job has begun. */
 void home_tx_begin(struct home_job *job);
-/** The job has ended its transaction: the connection serves others again. */
+/** Releases the connection from the transaction that the job has ended. */
 void home_tx_release(struct home_job *job);
 struct home_tx *home_tx_find(struct home_member *m, uint64_t id);
-/** Whether one more transaction may keep a connection: the last one stays for single statements. */
+/**
+ * Returns whether one more transaction may reserve a connection. One connection is always left for
+ * single statements.
+ */
 bool home_tx_may_begin(const struct home_member *m);
-/** Roll back the transaction and forget it. */
+/** Ends the transaction and closes its connection; uncommitted work is rolled back. */
 void home_tx_end(struct home_member *m, struct home_tx *tx);
-/** Roll back transactions that were left alone for long, or whose entry VM is gone. */
+/** Rolls back transactions that were idle for too long or whose entry is gone. */
 void home_tx_expire(struct home_member *m, int64_t now);
 
 /* home-confirm.c */
-/** The job has committed at job->pos: answer when a majority has it. */
+/** Answers a job that has committed at job->pos, once a majority of the group has the commit. */
 void home_confirm_start(struct home_job *job);
-/** Something was learned of the group: answer what may be answered. */
+/** Answers the jobs whose commits are confirmed; called when the state of the group changed. */
 void home_confirm_check(struct home_member *m);
-/** Stop waiting for what waited too long. */
+/** Ends jobs that have waited too long for confirmation. */
 void home_confirm_expire(struct home_member *m, int64_t now);
-/** Whether a commit would find a replica to confirm it, as far as is known. */
-bool home_confirmable(const struct home_member *m);
+/** Returns whether enough replicas are known to be up to confirm a new commit. */
+bool home_can_confirm(const struct home_member *m);
 
-/* home-fate.c */
-/** The answer to the job's commit was lost: find out. */
-void home_fate_start(struct home_job *job);
-void home_fate_serve(struct rpc_request *rq, const void *args, void *owner);
+/* home-commit-status.c */
+/** Determines whether the job's transaction committed, after the answer to COMMIT was lost. */
+void home_commit_status_start(struct home_job *job);
+void home_commit_status_serve(struct rpc_request *rq, const void *args, void *owner);
 
 /* home-watch.c */
 void home_watch_start(struct home_member *m);
 void home_watch_stop(struct home_member *m);
-/** Look at the member now: something went wrong with a connection. */
-void home_watch_hint(struct home_member *m);
+/** Has the member probed at the next tick, after a problem with a connection. */
+void home_watch_probe_soon(struct home_member *m);
 void home_member_serve(struct rpc_request *rq, const void *args, void *owner);
 void home_order_serve(struct rpc_request *rq, const void *args, void *owner);
-/** Ask the home of member @a i to report when it has @a wait_for. */
-void home_watch_ask(struct home_member *m, int i, struct pos wait_for, int64_t wait_us);
-/** Decode another home's report. */
+/**
+ * Requests a report of member @a i from its home, which delays the answer until the member has
+ * @a wait_for or @a wait_us has passed.
+ */
+void home_watch_request_report(struct home_member *m, int i, struct pos wait_for, int64_t wait_us);
+/** Decodes the report of another home. */
 void home_report_from_res(const ml_member_res *res, struct member_report *r);
 
 #endif
--- a/src/parts.c
+++ b/src/parts.c
@@ -1,4 +1,4 @@
-/** @file parts.c Claiming the fixed parts of this VM's data centre, and knowing which are held. */
+/** @file parts.c Claims the fixed parts of this VM's data centre and tracks which ones it holds. */
 #include "parts.h"
 
 #include "fleet-store.h"
@@ -8,29 +8,30 @@
 
 #define TICK_US (100 * USEC_PER_MSEC)
 /**
- * How much longer each further VM of the data centre waits before it claims a part that nobody
- * holds: the first may be turned away by the store, and the others can't know.
+ * Extra delay of each further VM of the data centre, in a fixed order, before it claims a free
+ * part. A later VM has to claim at all because the store may refuse an earlier one without the
+ * others knowing.
  */
-#define TURN_US (400 * USEC_PER_MSEC)
-/** VMs of a data centre that watch the store and so know first of a free part; see WATCHERS. */
-#define FIRST_TO_KNOW 2
-/** After a claim that failed; the list tells within a second who was first. */
-#define RETRY_US (1 * USEC_PER_SEC)
-/** A part's key: prefix, data centre, index. */
+#define CLAIM_STAGGER_US (400 * USEC_PER_MSEC)
+/** VMs of a data centre that watch the store and so learn of a free part first; see WATCHERS. */
+#define WATCHERS_PER_DC 2
+/** Pause after a failed claim; within it the list of VMs shows which VM claimed the part. */
+#define CLAIM_RETRY_US (1 * USEC_PER_SEC)
+/** Size of a part's key: prefix, data centre, index. */
 #define KEY_SIZE (NAME_SIZE + 32)
 
 /** One part of this VM's data centre. */
 struct part {
 	struct parts *parts;
 	unsigned index;
-	uint64_t lease;	   /**< under which this VM holds it; 0: it does not */
-	uint64_t asked;	   /**< lease of the claim that is under way */
-	uint64_t revision; /**< of the key as last seen; 0: it is not there */
-	bool former;	   /**< the key names an earlier process of this VM */
-	bool inherited;	   /**< this VM's claim replaced such a key */
-	bool busy;
-	int64_t free_us; /**< since when nobody is known to hold it; 0: somebody does */
-	int64_t next_us; /**< no claim before */
+	uint64_t lease; /**< lease that this VM holds the part under; 0 if it does not hold it */
+	uint64_t claim_lease;	/**< lease of the claim in progress */
+	uint64_t revision;	/**< last known revision of the key; 0 if there is no key */
+	bool previous;		/**< the key names a previous process of this VM */
+	bool inherited;		/**< this VM's claim replaced the key of its previous process */
+	bool claiming;		/**< a claim is in progress */
+	int64_t free_since_us;	/**< since when no holder is known; 0 while there is one */
+	int64_t claim_after_us; /**< no claim is sent before this time */
 };
 
 struct parts {
@@ -44,14 +45,14 @@
 	return (struct parts *)kernel_look(k, "parts");
 }
 
-static struct fleet *fleet_here(const struct parts *p)
+static struct fleet *parts_fleet(const struct parts *p)
 {
 	return fleet_of(p->service.kernel);
 }
 
 /**
- * Whether the store still has the key of @a revision for all that the lease's holder knows. What a
- * former era said counts as long as the lease of that era does.
+ * Returns whether a key of @a revision may still be relied on under the present lease. A key of an
+ * earlier era counts for as long as the lease of that era does.
  */
 static bool is_of_lease_era(uint64_t revision)
 {
@@ -60,7 +61,7 @@
 
 static bool holds(const struct part *part)
 {
-	struct fleet *f = fleet_here(part->parts);
+	struct fleet *f = parts_fleet(part->parts);
 
 	return part->lease != 0 && part->lease == fleet_store_lease(f) &&
 	       fleet_confirmed_listed(f) && is_of_lease_era(part->revision);
@@ -90,7 +91,7 @@
 		   part->parts->service.kernel->settings->data_center, part->index);
 }
 
-/** What the key says; the list of VMs carries it to all. */
+/** Returns the value of the part's key, which the list of VMs passes on to all VMs. */
 static char *part_text(const struct part *part, uint64_t lease)
 {
 	const struct kernel *k = part->parts->service.kernel;
@@ -102,40 +103,43 @@
 			       k->incarnation, lease);
 }
 
-static void part_taken(struct part *part, uint64_t lease, const char *how)
+static void part_acquired(struct part *part, uint64_t lease, const char *how)
 {
 	part->lease = lease;
-	part->free_us = 0;
+	part->free_since_us = 0;
 	log_info("part-held", LOG_NUM("part", part->index), LOG_NUM("lease", lease),
 		 LOG_STR("how", how));
 }
 
-/** Another claim was first, or an earlier one of this VM: the key that stands tells which. */
+/**
+ * Handles a conflict: the key was written by another VM, or by an earlier claim of this VM whose
+ * answer was lost. The value of the key shows which.
+ */
 static void claim_lost(struct part *part, const struct store_answer *a)
 {
 	const struct store_item *item = a->items->len > 0 ? g_ptr_array_index(a->items, 0) : NULL;
-	char *own = part_text(part, part->asked);
+	char *own = part_text(part, part->claim_lease);
 
 	part->revision = item != NULL && item->value != NULL ? item->revision : 0;
-	part->former = false;
+	part->previous = false;
 	if (part->revision != 0 && strcmp(item->value, own) == 0)
-		part_taken(part, part->asked, "answer-was-lost");
+		part_acquired(part, part->claim_lease, "answer-was-lost");
 	g_free(own);
 }
 
-static void claimed(const struct store_answer *a, void *arg)
+static void claim_done(const struct store_answer *a, void *arg)
 {
 	struct part *part = arg;
 
-	part->busy = false;
+	part->claiming = false;
 	if (a->status == STORE_DONE) {
 		part->revision = a->revision;
-		part->inherited = part->former;
-		part->former = false;
-		part_taken(part, part->asked, part->inherited ? "inherited" : "claimed");
+		part->inherited = part->previous;
+		part->previous = false;
+		part_acquired(part, part->claim_lease, part->inherited ? "inherited" : "claimed");
 		return;
 	}
-	part->next_us = now_us() + RETRY_US;
+	part->claim_after_us = now_us() + CLAIM_RETRY_US;
 	log_info("part-claim-failed", LOG_NUM("part", part->index), LOG_NUM("status", a->status));
 	if (a->status == STORE_CONFLICT)
 		claim_lost(part, a);
@@ -143,85 +147,93 @@
 
 static void claim(struct part *part)
 {
-	struct fleet *f = fleet_here(part->parts);
+	struct fleet *f = parts_fleet(part->parts);
 	struct store *s = fleet_store(f);
 	char key[KEY_SIZE];
-	/* What the key was in a former era tells nothing; one that is there makes a conflict. */
+	/*
+	 * A revision of an earlier era is not used as a guard. If the key exists, the claim ends
+	 * with a conflict.
+	 */
 	bool known = fleet_store_is_current(part->revision);
 	struct store_guard guard = {.key = key, .revision = known ? part->revision : 0};
 	struct store_write write = {.key = key, .lease = fleet_store_lease(f)};
 	char *text;
 
 	part_key(part, key);
-	part->asked = write.lease;
-	part->busy = true;
-	text = part_text(part, part->asked);
+	part->claim_lease = write.lease;
+	part->claiming = true;
+	text = part_text(part, part->claim_lease);
 	write.value = text;
-	s->ops->commit(s, &guard, 1, &write, 1, claimed, part);
+	s->ops->commit(s, &guard, 1, &write, 1, claim_done, part);
 	g_free(text);
 }
 
-/** Whether this process holds it under its present lease: nobody else writes or removes that key.
+/**
+ * Returns whether this process holds the part under its present lease. No other VM writes or
+ * removes such a key.
  */
 static bool is_own(const struct part *part, const struct fleet_part *held)
 {
 	const struct kernel *k = part->parts->service.kernel;
 
 	return strcmp(held->vm, k->settings->name) == 0 && held->incarnation == k->incarnation &&
-	       held->lease == fleet_store_lease(fleet_here(part->parts)) &&
+	       held->lease == fleet_store_lease(parts_fleet(part->parts)) &&
 	       is_of_lease_era(held->revision);
 }
 
 /**
- * Whether the part may be claimed: nobody holds it as far as is known, or this VM did in an earlier
- * process, or under an earlier lease.
+ * Returns whether the part may be claimed: it has no known holder, or the holder is a previous
+ * process of this VM, or this process under an earlier lease.
  */
 static bool is_free(const struct part *part, const struct fleet_part *held)
 {
 	return held == NULL || strcmp(held->vm, part->parts->service.kernel->settings->name) == 0;
 }
 
-/** This VM's turn to claim a part that is free. Those that watch the store know of it first. */
-static unsigned turn_of(const struct part *part)
+/**
+ * Returns this VM's place in the order in which VMs claim a free part. VMs that watch the store
+ * come first because they learn of it first.
+ */
+static unsigned claim_turn(const struct part *part)
 {
-	struct fleet *f = fleet_here(part->parts);
+	struct fleet *f = parts_fleet(part->parts);
 	char role[KEY_SIZE];
 
 	if (fleet_is_watcher(f))
-		return (fleet_watch_rank(f) + part->index) % FIRST_TO_KNOW;
+		return (fleet_watch_rank(f) + part->index) % WATCHERS_PER_DC;
 	part_key(part, role);
-	return FIRST_TO_KNOW + peers_place(&f->peers, role);
+	return WATCHERS_PER_DC + peers_place(&f->peers, role);
 }
 
 static void part_tick(struct part *part, int64_t now)
 {
-	struct fleet *f = fleet_here(part->parts);
+	struct fleet *f = parts_fleet(part->parts);
 	const char *here = f->peers.self->data_center;
 	const struct fleet_part *held = fleet_part(f, here, part->index);
 
-	if (holds(part) || part->busy)
+	if (holds(part) || part->claiming)
 		return;
 	if (held != NULL && is_own(part, held)) {
 		part->revision = held->revision;
-		part_taken(part, held->lease, "listed");
+		part_acquired(part, held->lease, "listed");
 		return;
 	}
 	if (!is_free(part, held) || (held == NULL && !fleet_store_settled(f))) {
-		part->free_us = 0;
+		part->free_since_us = 0;
 		return;
 	}
-	if (part->free_us == 0)
-		part->free_us = now;
-	if (held == NULL && now - part->free_us < turn_of(part) * TURN_US)
+	if (part->free_since_us == 0)
+		part->free_since_us = now;
+	if (held == NULL && now - part->free_since_us < claim_turn(part) * CLAIM_STAGGER_US)
 		return;
-	if (now >= part->next_us)
+	if (now >= part->claim_after_us)
 		claim(part);
 }
 
 static void on_tick(evutil_socket_t fd, short what, void *arg)
 {
 	struct parts *p = arg;
-	struct fleet *f = fleet_here(p);
+	struct fleet *f = parts_fleet(p);
 	unsigned i;
 
 	if (p->service.kernel->draining || !f->self_listed || !fleet_confirmed_listed(f))
@@ -230,7 +242,7 @@
 		part_tick(&p->part[i], now_us());
 }
 
-static bool names_former(const struct part *part, const char *value)
+static bool names_previous_process(const struct part *part, const char *value)
 {
 	const struct kernel *k = part->parts->service.kernel;
 	char name[NAME_SIZE];
@@ -240,8 +252,8 @@
 	       strcmp(name, k->settings->name) == 0 && incarnation != k->incarnation;
 }
 
-/** The key as the store has it: a claim has to name its revision. */
-static void on_news(const struct store_item *item, void *owner)
+/** Records the key's revision and holder, which a claim has to refer to. */
+static void on_key_changed(const struct store_item *item, void *owner)
 {
 	struct parts *p = owner;
 	char key[KEY_SIZE];
@@ -252,7 +264,7 @@
 		if (strcmp(item->key, key) != 0)
 			continue;
 		p->part[i].revision = item->value != NULL ? item->revision : 0;
-		p->part[i].former = names_former(&p->part[i], item->value);
+		p->part[i].previous = names_previous_process(&p->part[i], item->value);
 	}
 }
 
@@ -290,6 +302,6 @@
 		p->part[i].index = i;
 	}
 	kernel_add(k, &p->service);
-	fleet_store_listen(fleet_of(k), FLEET_STORE_PARTS, on_news, p);
+	fleet_store_listen(fleet_of(k), FLEET_STORE_PARTS, on_key_changed, p);
 	return &p->service;
 }
--- a/src/parts.h
+++ b/src/parts.h
@@ -1,8 +1,10 @@
 /**
  * @file parts.h
- * Which VM holds which fixed part of the teams' rates (decide/part.h). A part is a key in the
- * store, under the lease of the VM that holds it: two VMs never hold the same one, and a VM stops
- * spending it before the store can give it to another.
+ * Ownership of the fixed parts of the teams' rates (decide/part.h). A part is held by the VM whose
+ * lease its key in the platform's store is written under. So two VMs never hold the same part, and
+ * a VM stops spending a part's tokens before the store can give the part to another VM.
+ *
+ * An era is a number that grows each time the store comes back from an older copy of its data.
  */
 #ifndef PARTS_H
 #define PARTS_H
@@ -13,13 +15,13 @@
 struct parts;
 
 struct service *parts_service_create(struct kernel *k);
-/** NULL where the platform has no store with leases. */
+/** Returns NULL where the platform has no store with leases. */
 struct parts *parts_of(struct kernel *k);
-/** Parts of its data centre that this VM holds now, a bit each; 0 without a lease. */
+/** Returns a bit mask of the parts of its data centre that this VM holds now; 0 without a lease. */
 unsigned parts_held(const struct parts *p);
 /**
- * Those that an earlier process of this VM held until it ended, a bit each: nobody has spent from
- * them since this process began.
+ * Returns a bit mask of the parts that a previous process of this VM held until it ended. Nobody
+ * has spent tokens from these parts since this process started.
  */
 unsigned parts_inherited(const struct parts *p);
 
--- a/src/session.c
+++ b/src/session.c
@@ -236,7 +236,7 @@
 		return;
 	}
 	stat_add(STAT_OVER_RATE, 1);
-	shares_log(shares_of(session_kernel(s)), s->team, s->st.request);
+	shares_log_refusal(shares_of(session_kernel(s)), s->team, s->st.request);
 	session_answer_here(s, OUTCOME_OVER_RATE, retry_after_us);
 }
 
@@ -247,7 +247,7 @@
 	int verdict;
 
 	s->admission.done = on_admitted;
-	s->admission.settles = true;
+	s->admission.will_settle = true;
 	verdict = shares_admit(shares_of(session_kernel(s)), s->team, &s->admission, s->deadline_us,
 			       &retry_us);
 	if (verdict > 0)
--- a/src/shares-ask.c
+++ b/src/shares-ask.c
@@ -1,7 +1,7 @@
 /**
  * @file shares-ask.c
- * Tokens of the fixed parts that other VMs hold. A round asks one VM after the other, those of this
- * data centre first, until all that wait have a token or ASKS_MAX had too few.
+ * Requests tokens from fixed parts that other VMs hold. A round asks one VM after the other, VMs of
+ * this data centre first, until every waiting request has a token or ASKS_MAX VMs had too few.
  */
 #include "shares-state.h"
 
@@ -12,18 +12,18 @@
 #include <xxhash.h>
 
 /**
- * Longest wait for an answer: a VM that says nothing must not use up the time of a request that the
- * next one has a token for.
+ * RPC timeout. Short enough that one silent VM does not use up the wait of a request for which the
+ * next VM has a token.
  */
 #define ASK_TIMEOUT_US (150 * USEC_PER_MSEC)
-/** VMs asked in a round. Each costs a call; the tokens of more than these are rarely all spent. */
+/** VMs asked in a round. Each costs an RPC, and it is rare that all of them are out of tokens. */
 #define ASKS_MAX 6
-/** Pause after a round in which nobody had a token. */
-#define DRY_US (50 * USEC_PER_MSEC)
-/** Weight of a round in the average of those in which all that waited got a token. */
-#define GOT_ALPHA 0.2
-/** Below this part of the rounds the team asks for more than its rate. */
-#define GOT_HOPEFUL 0.5
+/** Pause after a round in which no VM had enough tokens. */
+#define EMPTY_PAUSE_US (50 * USEC_PER_MSEC)
+/** Weight of the newest round in the moving average of successful rounds. */
+#define SUCCESS_RATIO_ALPHA 0.2
+/** A team with a lower ratio of successful rounds counts as over its rate. */
+#define WITHIN_RATE_RATIO_MIN 0.5
 
 struct ask {
 	struct shares *s;
@@ -33,13 +33,16 @@
 	unsigned want;
 };
 
-/** The RPC address of who holds the part, NULL when it is not to be asked. */
+/** Returns the RPC address of the VM that holds the part, or NULL if that VM cannot be asked. */
 static const char *place_address(struct shares *s, const struct fleet_part *part)
 {
 	const struct fleet *f = fleet_of(s->service.kernel);
 	const struct vm *vm = part != NULL ? peers_find(&f->peers, part->vm) : NULL;
 
-	/* A VM that restarted takes its part back before the news of it is here. */
+	/*
+	 * The process that holds the part is not compared: a restarted VM takes its part back
+	 * before the updated list arrives here.
+	 */
 	if (vm == NULL || vm == f->peers.self || !peers_usable(vm))
 		return NULL;
 	return part->address;
@@ -67,17 +70,18 @@
 	return n;
 }
 
-static void round_ends(struct shares_team *t, bool dry, int64_t now)
+static void round_end(struct shares_team *t, bool empty, int64_t now)
 {
 	if (t->ask.asked > 0)
-		t->ask.got += GOT_ALPHA * ((dry ? 0 : 1) - t->ask.got);
+		t->ask.success_ratio +=
+			SUCCESS_RATIO_ALPHA * ((empty ? 0 : 1) - t->ask.success_ratio);
 	t->ask.tried = 0;
 	t->ask.asked = 0;
-	if (dry)
-		t->ask.dry_until_us = now + DRY_US;
+	if (empty)
+		t->ask.paused_until_us = now + EMPTY_PAUSE_US;
 }
 
-static void on_tokens(enum rpc_status status, const void *arg_res, void *arg)
+static void tokens_received(enum rpc_status status, const void *arg_res, void *arg)
 {
 	const ml_tokens_res *res = arg_res;
 	struct ask *q = arg;
@@ -89,12 +93,12 @@
 	if (t != NULL) {
 		double granted = status == RPC_DONE ? MIN(res->granted, q->want) : 0;
 
-		t->ask.out = false;
+		t->ask.in_flight = false;
 		if (granted < q->want)
 			t->ask.tried |= UINT64_C(1) << q->place;
-		if (granted < q->want && t->ask.far)
-			t->ask.far_tried_us = now;
-		t->granted = now - t->ask.sent_us < GRANT_FRESH_US ? granted : 0;
+		if (granted < q->want && t->ask.remote)
+			t->ask.remote_empty_us = now;
+		t->granted = now - t->ask.sent_us < GRANT_AGE_MAX_US ? granted : 0;
 		team_admit_waiting(t, now);
 		ask_next(t, now);
 	}
@@ -111,11 +115,11 @@
 	q->want = t->n_waiting;
 	g_strlcpy(q->team, t->name, sizeof(q->team));
 	g_strlcpy(q->address, address, sizeof(q->address));
-	t->ask.out = true;
+	t->ask.in_flight = true;
 	t->ask.asked++;
 	t->ask.sent_us = now;
 	rpc_start(rpc_of(t->s->service.kernel), address, ML_TOKENS, &args, ASK_TIMEOUT_US,
-		  on_tokens, q);
+		  tokens_received, q);
 }
 
 void ask_next(struct shares_team *t, int64_t now)
@@ -125,28 +129,28 @@
 	unsigned n;
 	int at;
 
-	if (!t->fixed || t->ask.out || now < t->ask.dry_until_us)
+	if (!t->fixed || t->ask.in_flight || now < t->ask.paused_until_us)
 		return;
 	if (t->n_waiting == 0) {
-		round_ends(t, false, now);
+		round_end(t, false, now);
 		return;
 	}
 	n = places_list(t, places);
 	at = t->ask.asked < ASKS_MAX
 		     ? part_choose(places, n, (unsigned)XXH64(self, strlen(self), 0),
-				   part_ask_far(ask_hopeful(t), t->ask.far_tried_us, now))
+				   part_ask_far(ask_within_rate(t), t->ask.remote_empty_us, now))
 		     : -1;
 	if (at < 0) {
-		round_ends(t, true, now);
+		round_end(t, true, now);
 		return;
 	}
-	t->ask.far = !places[at].near;
+	t->ask.remote = !places[at].near;
 	ask_send(t, places[at].address, (unsigned)at, now);
 }
 
-bool ask_hopeful(const struct shares_team *t)
+bool ask_within_rate(const struct shares_team *t)
 {
-	return t->ask.got >= GOT_HOPEFUL;
+	return t->ask.success_ratio >= WITHIN_RATE_RATIO_MIN;
 }
 
 static void tokens_serve(struct rpc_request *rq, const void *args, void *owner)
--- a/src/shares-report.c
+++ b/src/shares-report.c
@@ -1,7 +1,7 @@
 /**
  * @file shares-report.c
- * Parts of the rates that move between VMs: this VM's reports to the allocators, and the answers of
- * those that it is the allocator of.
+ * Parts of rates that move between VMs: the reports that this VM sends to the allocators, and, for
+ * the teams that this VM is the allocator of, the answers to the reports of others.
  */
 #include "shares-state.h"
 
@@ -12,10 +12,10 @@
 #include <string.h>
 
 #define REPORT_TIMEOUT_US (400 * USEC_PER_MSEC)
-/** A report takes along the teams of the same allocator whose own would be due so soon. */
+/** A message to an allocator also carries the reports that would be due within this time. */
 #define REPORT_AHEAD_US (500 * USEC_PER_MSEC)
-/** Teams that one report may name. */
-#define REPORT_TEAMS 256
+/** Most teams in one message to an allocator. */
+#define REPORT_TEAMS_MAX 256
 
 /* Holder's side */
 
@@ -43,11 +43,11 @@
 		if (t == NULL)
 			continue;
 		/*
-		 * Tokens that were long under way would come on top of a burst that has filled up
-		 * again since.
+		 * Tokens that took long to arrive would exceed the team's burst, which has filled
+		 * up again in the meantime.
 		 */
-		t->granted = now - t->out_us < GRANT_FRESH_US ? wire->granted : 0;
-		t->out_us = 0;
+		t->granted = now - t->report_sent_us < GRANT_AGE_MAX_US ? wire->granted : 0;
+		t->report_sent_us = 0;
 		if (share_holder_order(&t->holder, &o, now)) {
 			stat_add(STAT_SHARE_ORDERS, 1);
 			team_resize(t, now);
@@ -75,7 +75,7 @@
 
 static bool report_due(const struct shares_team *t, int64_t now)
 {
-	if (t->out_us != 0 && now - t->out_us < REPORT_TIMEOUT_US)
+	if (t->report_sent_us != 0 && now - t->report_sent_us < REPORT_TIMEOUT_US)
 		return false;
 	return t->configured && !t->fixed && share_holder_due_us(&t->holder) <= now;
 }
@@ -84,7 +84,7 @@
 {
 	struct share_report r = share_holder_report(&t->holder, now);
 
-	t->out_us = now;
+	t->report_sent_us = now;
 	wire->team = t->name;
 	wire->epoch = r.epoch;
 	wire->seq = r.seq;
@@ -94,11 +94,11 @@
 	wire->want = t->n_waiting;
 }
 
-/** Room for an allocator's role. */
+/** Size of the text that names an allocator role. */
 #define ROLE_SIZE 16
 
-/** All teams of one allocator report. */
-static void poke_all(struct shares *s, unsigned role)
+/** Makes the reports of all teams of one allocator role due now. */
+static void set_reports_due(struct shares *s, unsigned role)
 {
 	struct shares_team *t;
 
@@ -109,21 +109,23 @@
 }
 
 /**
- * Find the VMs that allocate. One allocator a team would have each VM of a large fleet write to
- * nearly all others every second.
+ * Finds the VMs that have the allocator roles. There are few roles, because with one allocator per
+ * team each VM of a large fleet would write to nearly all others every second.
  *
- * A new allocator gives out nothing before it has heard from every VM. Holders at rest report each
- * SHARE_REPORT_IDLE_US, so its teams were without tokens for that long; told at once, it knows all
- * within two round trips of the change being known.
+ * A new allocator gives out nothing before every VM has reported to it. Idle holders report only
+ * every SHARE_REPORT_IDLE_US, and its teams would have no tokens for that long. Therefore all
+ * holders report at once to a new allocator: it has all reports within two round trips after the
+ * change is known.
  */
-static void allocators_look(struct shares *s)
+static void update_allocators(struct shares *s)
 {
 	struct fleet *f = fleet_of(s->service.kernel);
 	unsigned i;
 
 	/*
-	 * Before the other VMs are known this one would take itself for all allocators, with an
-	 * epoch that the real one might have to begin again above.
+	 * Before the list of VMs is known this VM would assign all roles to itself. Its epoch may
+	 * be higher than the real allocator's, which would then have to start over with a higher
+	 * one.
 	 */
 	if (f->peers.revision == 0)
 		return;
@@ -141,24 +143,24 @@
 			 LOG_STR("before", s->allocator[i]),
 			 LOG_REVISION("vms_revision", f->peers.revision));
 		g_strlcpy(s->allocator[i], address, ADDRESS_SIZE);
-		poke_all(s, i);
+		set_reports_due(s, i);
 	}
 }
 
-/** Send what is due, one message to each allocator. */
+/** Sends the reports that are due, in one message to each allocator. */
 static void reports_send(struct shares *s, int64_t now)
 {
-	ml_share_report reports[REPORT_TEAMS];
+	ml_share_report reports[REPORT_TEAMS_MAX];
 	struct shares_team *t, *other;
 
-	allocators_look(s);
+	update_allocators(s);
 	TAILQ_FOREACH(t, &s->teams, link) {
 		const char *address = s->allocator[t->role];
 		unsigned n = 0;
 
 		if (!report_due(t, now) || address[0] == '\0')
 			continue;
-		for (other = t; other != NULL && n < REPORT_TEAMS;
+		for (other = t; other != NULL && n < REPORT_TEAMS_MAX;
 		     other = TAILQ_NEXT(other, link)) {
 			if (report_due(other, now + REPORT_AHEAD_US) &&
 			    strcmp(s->allocator[other->role], address) == 0)
@@ -170,7 +172,7 @@
 
 /* Allocator's side */
 
-static void list_vms(struct shares *s, struct share_alloc *alloc)
+static void alloc_update_vms(struct shares *s, struct share_alloc *alloc)
 {
 	struct fleet *f = fleet_of(s->service.kernel);
 	const char **names = g_new0(const char *, f->peers.n + 1);
@@ -178,7 +180,7 @@
 	unsigned n = 0;
 
 	TAILQ_FOREACH(vm, &f->peers.vms, link) {
-		/* This VM counts itself as listed only when the platform does. */
+		/* This VM is always in peers, but counts only once the platform lists it. */
 		if (vm->listed && !vm->left && (vm != f->peers.self || f->peers.revision > 0))
 			names[n++] = vm->name;
 	}
@@ -197,7 +199,7 @@
 	t->alloc->own = t->split.own_part;
 	t->alloc->rate = t->rate;
 	t->alloc->burst = t->burst;
-	list_vms(t->s, t->alloc);
+	alloc_update_vms(t->s, t->alloc);
 }
 
 static struct share_alloc *team_alloc(struct shares_team *t)
@@ -212,15 +214,15 @@
 			t->alloc->gone_us = 0;
 		t->alloc->own = t->split.own_part;
 		log_info("placement", LOG_STR("choice", "allocator"), LOG_STR("team", t->name));
-		list_vms(s, t->alloc);
+		alloc_update_vms(s, t->alloc);
 	}
 	return t->alloc;
 }
 
-/** Most holders asked for a report at a time. */
-#define POKES_MAX 16
+/** Most holders that are asked for a report at a time. */
+#define REPORT_REQUESTS_MAX 16
 
-static void poke_send(struct kernel *k, const char *name, const char *team, unsigned role)
+static void request_report(struct kernel *k, const char *name, const char *team, unsigned role)
 {
 	const struct vm *vm = peers_find(&fleet_of(k)->peers, name);
 	ml_poke args = {.team = (char *)team, .allocator = role};
@@ -229,27 +231,28 @@
 		rpc_start(rpc_of(k), vm->address, ML_POKE, &args, REPORT_TIMEOUT_US, NULL, NULL);
 }
 
-/** Ask holders for a report whose units others wait for. */
-static void poke_overfull(struct shares_team *t, int64_t now)
+/** Requests reports from holders that must give up units which other holders wait for. */
+static void request_excess_reports(struct shares_team *t, int64_t now)
 {
 	struct kernel *k = t->s->service.kernel;
-	const char *vms[POKES_MAX];
-	unsigned n = share_alloc_overfull(t->alloc, vms, POKES_MAX, now);
+	const char *vms[REPORT_REQUESTS_MAX];
+	unsigned n = share_alloc_overfull(t->alloc, vms, REPORT_REQUESTS_MAX, now);
 	unsigned i;
 
 	for (i = 0; i < n; i++)
-		poke_send(k, vms[i], t->name, t->role);
+		request_report(k, vms[i], t->name, t->role);
 }
 
-/** VMs of the largest fleet that is designed for; one report of each is asked for. */
-#define ASKED_MAX 4096
+/** Size of the largest supported fleet; each of its VMs may be asked for a report. */
+#define HOLDERS_MAX 4096
 
 /**
- * Ask the holders that an allocator here has not heard yet. Their teams get nothing new until all
- * are heard, and holders at rest report each SHARE_REPORT_IDLE_US: while VMs restart one after the
- * other its requests would be refused.
+ * Requests reports from the holders that have not reported yet to an allocator on this VM. The
+ * allocator gives out nothing new until every holder has reported, and idle holders report only
+ * every SHARE_REPORT_IDLE_US: during a rolling restart of VMs, requests of its teams would be
+ * refused.
  */
-static void ask_unheard(struct shares *s, int64_t now)
+static void request_missing_reports(struct shares *s, int64_t now)
 {
 	const char **vms = NULL;
 	struct shares_team *t;
@@ -261,18 +264,20 @@
 		if (t->alloc == NULL || t->fixed || t->alloc->whole || asked[t->role])
 			continue;
 		if (vms == NULL)
-			vms = g_new(const char *, ASKED_MAX);
-		n = share_alloc_unheard(t->alloc, vms, ASKED_MAX, now);
-		/* A report names all teams of the allocator, so one team's holders stand for all.
+			vms = g_new(const char *, HOLDERS_MAX);
+		n = share_alloc_unheard(t->alloc, vms, HOLDERS_MAX, now);
+		/*
+		 * The request covers all teams of the allocator role, so one team per role is
+		 * enough.
 		 */
 		asked[t->role] = n > 0;
 		for (i = 0; i < n; i++)
-			poke_send(s->service.kernel, vms[i], "", t->role);
+			request_report(s->service.kernel, vms[i], "", t->role);
 	}
 	g_free(vms);
 }
 
-static void poke_serve(struct rpc_request *rq, const void *args, void *owner)
+static void report_request_serve(struct rpc_request *rq, const void *args, void *owner)
 {
 	const ml_poke *a = args;
 	struct shares *s = owner;
@@ -282,26 +287,30 @@
 	if (t != NULL)
 		share_holder_poked(&t->holder);
 	else if (a->team[0] == '\0')
-		poke_all(s, a->allocator);
+		set_reports_due(s, a->allocator);
 	else
 		res.ok = false;
 	rpc_reply(rq, &res);
 }
 
-/** Between two lines on an allocator that still waits for a VM. */
-#define CENSUS_TOLD_US (1 * USEC_PER_SEC)
+/** Least time between two log lines about an allocator that still waits for reports. */
+#define CENSUS_LOG_INTERVAL_US (1 * USEC_PER_SEC)
 
-/** Log when the allocator may give out all of the rate, and for whom it waits before it may. */
+/**
+ * Logs that the allocator may give out the whole rate because every VM has reported, or which VMs
+ * it still waits for.
+ */
 static void census_log(struct shares_team *t, int64_t now)
 {
 	const struct share_alloc *a = t->alloc;
 	const char *first;
 	unsigned n;
 
-	if (a->whole == t->whole && (a->whole || now - t->census_told_us < CENSUS_TOLD_US))
+	if (a->whole == t->census_complete &&
+	    (a->whole || now - t->census_logged_us < CENSUS_LOG_INTERVAL_US))
 		return;
-	t->whole = a->whole;
-	t->census_told_us = now;
+	t->census_complete = a->whole;
+	t->census_logged_us = now;
 	n = share_alloc_unbound(a, &first);
 	log_info("rates-census", LOG_STR("team", t->name), LOG_NUM("complete", a->whole),
 		 LOG_NUM("epoch", a->epoch), LOG_NUM("unheard", n), LOG_STR("first", first),
@@ -325,7 +334,7 @@
 		struct shares_team *t = shares_team(s, wire->team);
 		struct share_order o;
 
-		/* The team is not known here yet: no order, the holder asks again. */
+		/* The team is not configured here yet: send no order, the holder reports again. */
 		if (t == NULL || !t->configured || t->fixed)
 			continue;
 		r.units = wire->units;
@@ -338,7 +347,7 @@
 								 .units = o.units,
 								 .over = o.over};
 		census_log(t, now);
-		poke_overfull(t, now);
+		request_excess_reports(t, now);
 		if (share_alloc_self_short(t->alloc, now))
 			share_holder_poked(&t->holder);
 		if (strcmp(a->vm, s->service.kernel->settings->name) != 0)
@@ -352,12 +361,12 @@
 
 void report_tick(struct shares *s, int64_t now)
 {
-	ask_unheard(s, now);
+	request_missing_reports(s, now);
 	reports_send(s, now);
 }
 
 void report_serve(struct shares *s)
 {
 	rpc_serve(rpc_of(s->service.kernel), ML_SHARE, share_serve, s);
-	rpc_serve(rpc_of(s->service.kernel), ML_POKE, poke_serve, s);
+	rpc_serve(rpc_of(s->service.kernel), ML_POKE, report_request_serve, s);
 }
--- a/src/shares-state.h
+++ b/src/shares-state.h
@@ -1,10 +1,10 @@
 /**
  * @file shares-state.h
- * What the parts of the admission service share.
+ * State shared by the files of the admission service.
  *
  * shares.c        teams, admission, the service
- * shares-report.c parts of the rates that move between VMs, see decide/share.h
- * shares-ask.c    tokens of the fixed parts that other VMs hold, see decide/part.h
+ * shares-report.c parts of rates that move between VMs, see decide/share.h
+ * shares-ask.c    tokens of fixed parts held by other VMs, see decide/part.h
  */
 #ifndef SHARES_STATE_H
 #define SHARES_STATE_H
@@ -15,31 +15,34 @@
 #include "share.h"
 #include "shares.h"
 
-/** VMs that allocate, at most. */
+/** Number of allocator roles; teams are spread over them by the hash of their name. */
 #define ALLOCATORS 8
-/** Tokens from another VM that took longer to arrive are not used: its burst has filled up since.
+/**
+ * Tokens from another VM that took longer to arrive are discarded: the burst there has filled up
+ * again in the meantime, so they would exceed the team's burst.
  */
-#define GRANT_FRESH_US (100 * USEC_PER_MSEC)
+#define GRANT_AGE_MAX_US (100 * USEC_PER_MSEC)
 
-/** Most places that may be asked for a team: a bit each in shares_ask. */
+/** Most places (fixed parts of all data centres) that may be asked for a team's tokens. */
 #define SHARES_PLACES_MAX (FLEET_DATA_CENTERS_MAX * PARTS_PER_DC)
 
-/** Asking other VMs for tokens of a team. */
+/** State of asking other VMs for tokens of a team. */
 struct shares_ask {
-	bool out;	/**< a call is under way */
-	uint64_t tried; /**< places asked in this round, a bit each */
-	unsigned asked; /**< calls of this round */
+	bool in_flight; /**< an RPC is in flight */
+	uint64_t tried; /**< bit mask of the places that had too few tokens in this round */
+	unsigned asked; /**< RPCs of this round */
 	int64_t sent_us;
-	bool far;	      /**< the place that is being asked is in another data centre */
-	int64_t far_tried_us; /**< when one of those had too few tokens */
-	int64_t dry_until_us; /**< no place had a token: nothing is asked before */
-	double got;	      /**< part of the last rounds in which all that waited got a token */
+	bool remote;		 /**< the place being asked is in another data centre */
+	int64_t remote_empty_us; /**< when a place of another data centre last had too few tokens */
+	int64_t paused_until_us; /**< no place had a token: no RPC is sent before this time */
+	double success_ratio;	 /**< moving average of rounds in which every waiting request got a
+				    token */
 };
 
 struct shares_team {
 	TAILQ_ENTRY(shares_team) link;
 	TAILQ_ENTRY(shares_team) busy_link;
-	bool busy; /**< requests wait, or a round of asking is under way */
+	bool busy; /**< on the list of teams with waiting requests or a round in progress */
 	struct shares *s;
 	char name[NAME_SIZE];
 	double rate;
@@ -48,68 +51,72 @@
 	struct bucket bucket;
 	struct admissions waiting;
 	unsigned n_waiting;
-	double granted; /**< single tokens from another VM, for those that wait now */
+	double granted; /**< single tokens granted by another VM to the requests that wait now */
 
-	bool fixed; /**< it has fixed parts, and nothing of its rate moves */
+	bool fixed; /**< the rate is divided into fixed parts, and no part of it moves */
 	struct part_split part;
 	struct shares_ask ask;
 
-	unsigned role; /**< which of the allocators has it */
+	unsigned role; /**< index of the allocator role that is responsible for the team */
 	struct share_split split;
 	struct share_holder holder;
-	int64_t out_us;		   /**< when the open report was sent */
-	struct share_alloc *alloc; /**< when this VM was asked to be the team's allocator */
-	bool whole;		   /**< @a alloc had heard from every VM when last looked at */
-	int64_t census_told_us;	   /**< when it was last logged whom @a alloc waits for */
+	int64_t report_sent_us;	   /**< when the unanswered report was sent; 0 for none */
+	struct share_alloc *alloc; /**< set once this VM was asked to be the team's allocator */
+	bool census_complete;	   /**< @a alloc had reports of every VM when last checked */
+	int64_t census_logged_us;  /**< when the VMs that @a alloc waits for were last logged */
 };
 TAILQ_HEAD(shares_teams, shares_team);
 
 struct shares {
 	struct service service;
 	struct shares_teams teams;
-	struct shares_teams busy; /**< those that a tick has to look at */
+	struct shares_teams busy; /**< teams that each tick processes */
 	unsigned n_moving;	  /**< teams whose rate moves between VMs */
-	bool idle;		  /**< ticks come at the pace of a VM at rest */
+	bool idle;		  /**< the timer runs at IDLE_TICK_US */
 	GHashTable *by_name;
 	struct event *tick;
 	int64_t started_us;
 	int64_t ticked_us;
-	bool listed;	       /**< this VM surely counts as listed for others */
-	struct parts *parts;   /**< NULL where no VM holds fixed parts */
-	uint64_t conf_version; /**< that last changed a team */
-	uint64_t vms_revision; /**< of the list of VMs that the rates are divided over */
-	unsigned n_left;       /**< of these, those that have left */
-	double all_rates;      /**< of all configured teams */
-	unsigned held;	       /**< fixed parts that this VM holds, a bit each */
-	unsigned inherited;    /**< those whose unspent tokens it has taken over, a bit each */
+	bool listed;	       /**< this VM's lease is confirmed: other VMs still count it */
+	struct parts *parts;   /**< NULL where the platform has no fixed parts */
+	uint64_t conf_version; /**< configuration version that last changed a team */
+	uint64_t vms_revision; /**< revision of the list of VMs that the rates are divided over */
+	unsigned n_left;       /**< VMs on that list that have announced that they leave */
+	double all_rates;      /**< sum of the rates of all configured teams */
+	unsigned held;	       /**< bit mask of the fixed parts that this VM holds */
+	unsigned inherited;    /**< bit mask of the parts whose unspent tokens were credited */
 
-	char allocator[ALLOCATORS][ADDRESS_SIZE]; /**< to which reports go; empty: to none */
+	/** Addresses that reports go to, by allocator role; empty while a role has no VM. */
+	char allocator[ALLOCATORS][ADDRESS_SIZE];
 };
 
 /* shares.c */
 struct shares_team *shares_team(struct shares *s, const char *name);
-/** Bring the bucket to this VM's part. */
+/** Sets rate and burst of the bucket to this VM's part. */
 void team_resize(struct shares_team *t, int64_t now);
-/** Admit those that wait as far as there are tokens, and end those that have waited in vain. */
+/** Admits waiting requests while there are tokens, and refuses those whose wait has ended. */
 void team_admit_waiting(struct shares_team *t, int64_t now);
-/** Tokens for another VM's waiting requests, out of this VM's own bucket. */
+/** Takes up to @a want tokens from this VM's bucket for requests that wait on another VM. */
 unsigned team_grant(struct shares_team *t, unsigned want, int64_t now);
-/** Drop what a loop that stood still may hold, and others have by now. */
+/**
+ * After a pause of the loop, gives up parts that other VMs may hold by now; called before a request
+ * takes a token.
+ */
 void shares_check_pause(struct shares *s, int64_t now);
-/** Have ticks look at the team until nothing of it waits. */
-void team_busy(struct shares_team *t);
+/** Has ticks process the team until it has no waiting request and no round in progress. */
+void team_mark_busy(struct shares_team *t);
 
 /* shares-report.c */
 void report_serve(struct shares *s);
 void report_tick(struct shares *s, int64_t now);
-/** The allocator here, if any, takes in the list of VMs and the team's rate. */
+/** Updates the allocator on this VM, if any, with the list of VMs and the team's rate. */
 void report_team_changed(struct shares_team *t);
 
 /* shares-ask.c */
 void ask_serve(struct shares *s);
-/** Ask another VM for those that wait, if one is left to ask. */
+/** Asks the next VM for tokens for the waiting requests, if there is one left to ask. */
 void ask_next(struct shares_team *t, int64_t now);
-/** Whether most of what was asked for came, lately: the team is within its rate. */
-bool ask_hopeful(const struct shares_team *t);
+/** Returns whether most recent rounds satisfied every request: the team is within its rate. */
+bool ask_within_rate(const struct shares_team *t);
 
 #endif
--- a/src/shares.c
+++ b/src/shares.c
@@ -1,4 +1,4 @@
-/** @file shares.c The service that admits requests by their teams' rates. */
+/** @file shares.c The service that admits requests within their teams' rates. */
 #include "shares-state.h"
 
 #include "log.h"
@@ -9,18 +9,18 @@
 #include <string.h>
 
 #define TICK_US (10 * USEC_PER_MSEC)
-/** While no request waits and no part moves. */
+/** Tick while no request waits and no team's rate moves between VMs. */
 #define IDLE_TICK_US (50 * USEC_PER_MSEC)
-/** Longest wait for a token, as long as the team is within its rate. */
-#define HOPE_US (1000 * USEC_PER_MSEC)
+/** Longest wait for a token of a team that is within its rate. */
+#define TOKEN_WAIT_MAX_US (1000 * USEC_PER_MSEC)
 /**
- * Longest wait for a token of a team that is over its rate. Each token serves one request, at once
- * or after a wait, and late ones are worth less.
+ * Longest wait for a token of a team that is over its rate. Waiting does not raise the number of
+ * requests that are served, it only makes them later.
  */
-#define OVER_US (40 * USEC_PER_MSEC)
+#define OVER_RATE_WAIT_MAX_US (40 * USEC_PER_MSEC)
 /** Longest wait for a token of a team with fixed parts that is within its rate. */
-#define FIXED_HOPE_US (300 * USEC_PER_MSEC)
-/** Most requests of one team that wait for tokens. */
+#define FIXED_TOKEN_WAIT_MAX_US (300 * USEC_PER_MSEC)
+/** Most requests of one team that may wait for tokens at the same time. */
 #define WAITING_MAX 5000
 
 struct shares *shares_of(struct kernel *k)
@@ -33,13 +33,13 @@
 	return g_hash_table_lookup(s->by_name, name);
 }
 
-/** Fixed parts with tokens of the team that this VM holds. */
+/** Returns how many of the fixed parts that this VM holds have tokens of the team. */
 static unsigned fixed_held(const struct shares_team *t)
 {
 	const struct kernel *k = t->s->service.kernel;
 	unsigned i, n = 0;
 
-	/* The split counts the data centres that are noted; another one has no part in it. */
+	/* Rates are divided over the data centres that the fleet lists; others have no part. */
 	if (!fleet_has_listed_vm(fleet_of(t->s->service.kernel), k->settings->data_center))
 		return 0;
 	for (i = 0; i < PARTS_PER_DC; i++)
@@ -54,8 +54,8 @@
 	unsigned n;
 
 	/*
-	 * A VM whose lease has ended is no longer counted by others, who divide the rate without
-	 * it: it must not spend anything until it is listed again.
+	 * Other VMs divide the rate without a VM whose lease has ended, so it must not spend any
+	 * tokens until it is listed again.
 	 */
 	if (!t->s->listed)
 		bucket_resize(&t->bucket, 0, 0, now);
@@ -67,7 +67,7 @@
 			      s->own_burst + s->moved_burst * part, now);
 }
 
-/** Divide the team's rate anew: it, or the VMs, have changed. */
+/** Recomputes the parts of the team's rate after a change of the rate or of the list of VMs. */
 static void team_split(struct shares_team *t, int64_t now)
 {
 	const struct fleet *f = fleet_of(t->s->service.kernel);
@@ -86,8 +86,8 @@
 	team_resize(t, now);
 }
 
-/** Tick often only while something waits or moves. */
-static void shares_pace(struct shares *s)
+/** Sets the tick interval: short only while a request waits or a team's rate moves. */
+static void update_tick_interval(struct shares *s)
 {
 	bool idle = TAILQ_EMPTY(&s->busy) && s->n_moving == 0;
 
@@ -97,13 +97,13 @@
 	kernel_arm(s->tick, idle ? IDLE_TICK_US : TICK_US);
 }
 
-void team_busy(struct shares_team *t)
+void team_mark_busy(struct shares_team *t)
 {
 	if (t->busy)
 		return;
 	t->busy = true;
 	TAILQ_INSERT_TAIL(&t->s->busy, t, busy_link);
-	shares_pace(t->s);
+	update_tick_interval(t->s);
 }
 
 static struct shares_team *team_create(struct shares *s, const char *name)
@@ -114,7 +114,7 @@
 	t->s = s;
 	g_strlcpy(t->name, name, sizeof(t->name));
 	t->role = g_str_hash(t->name) % ALLOCATORS;
-	t->ask.got = 1;
+	t->ask.success_ratio = 1;
 	TAILQ_INIT(&t->waiting);
 	bucket_init(&t->bucket, 0, 0, 0, now);
 	share_holder_init(&t->holder, s->service.kernel->incarnation, now);
@@ -186,7 +186,7 @@
 	s->n_left = f->n_left;
 	if (s->conf_version != f->conf->changed[CONF_TEAM])
 		teams_configure(s, f->conf);
-	/* Each split takes the rates of all teams into account. */
+	/* A team's parts depend on the rates of all teams, so all are recomputed. */
 	TAILQ_FOREACH(t, &s->teams, link) {
 		if (t->configured)
 			team_split(t, now);
@@ -198,12 +198,13 @@
 		else
 			s->n_moving += t->fixed ? 0 : 1;
 	}
-	shares_pace(s);
+	update_tick_interval(s);
 }
 
 /**
- * Tokens that have come due in @a parts since this process began: the one before it, which held
- * them, had ended by then. All callers come back at once after a loss of all VMs.
+ * Credits the tokens that @a parts have accrued since this process started. The previous process of
+ * this VM held the parts and had ended by then, so nobody has spent these tokens; they are needed
+ * at once when all VMs restart, because all callers reconnect together.
  */
 static void team_inherit(struct shares_team *t, unsigned parts, int64_t now)
 {
@@ -216,8 +217,8 @@
 	}
 }
 
-/** Spend only what this VM's lease lets it have now. */
-static void look_at_lease(struct shares *s, int64_t now)
+/** Resizes the buckets when the lease or the set of held parts has changed. */
+static void check_lease(struct shares *s, int64_t now)
 {
 	bool listed = fleet_confirmed_listed(fleet_of(s->service.kernel));
 	unsigned held = s->parts != NULL ? parts_held(s->parts) : 0;
@@ -239,10 +240,6 @@
 	}
 }
 
-/**
- * A loop that stood still may hold parts that others have by now: give them up before any request
- * takes a token.
- */
 void shares_check_pause(struct shares *s, int64_t now)
 {
 	int64_t gap = now - s->ticked_us;
@@ -251,7 +248,7 @@
 	if (gap < SHARE_PAUSE_MAX_US)
 		return;
 	s->ticked_us = now;
-	look_at_lease(s, now);
+	check_lease(s, now);
 	TAILQ_FOREACH(t, &s->teams, link) {
 		if (!share_holder_paused(&t->holder, gap))
 			continue;
@@ -282,37 +279,40 @@
 	a->team = NULL;
 }
 
-/** When the team's next token is likely to be free for a new request here. */
-static int64_t team_wait_us(struct shares_team *t, int64_t now)
+/** Returns the expected time until a token is free for a new request of the team on this VM. */
+static int64_t token_wait_us(struct shares_team *t, int64_t now)
 {
 	double ahead = (double)t->n_waiting + 1;
-	/* Of fixed parts all can be asked; of one that moves, what is here counts. */
+	/*
+	 * With fixed parts, tokens of every part can be requested; with a rate that moves, only
+	 * this VM's part counts.
+	 */
 	double part = !t->fixed && t->bucket.rate > 0 ? t->bucket.rate : t->rate / 2;
 	int64_t wait = (int64_t)((ahead - t->bucket.tokens) / part * (double)USEC_PER_SEC);
 
 	return wait > 0 ? wait : 1;
 }
 
-/** Whether the team as a whole is within its rate, as far as is known here. */
-static bool hopeful(const struct shares_team *t)
+/** Returns whether the team's demand over the fleet is within its rate, as known to this VM. */
+static bool team_within_rate(const struct shares_team *t)
 {
-	return t->fixed ? ask_hopeful(t) : share_holder_hopeful(&t->holder);
+	return t->fixed ? ask_within_rate(t) : share_holder_hopeful(&t->holder);
 }
 
-static int64_t longest_wait_us(const struct shares_team *t)
+static int64_t max_wait_us(const struct shares_team *t)
 {
-	if (!hopeful(t))
-		return OVER_US;
-	return t->fixed ? FIXED_HOPE_US : HOPE_US;
+	if (!team_within_rate(t))
+		return OVER_RATE_WAIT_MAX_US;
+	return t->fixed ? FIXED_TOKEN_WAIT_MAX_US : TOKEN_WAIT_MAX_US;
 }
 
-/** A token of this VM's bucket, for @a a. */
-static bool take_for(struct shares_team *t, struct admission *a, int64_t now)
+/** Takes a token from this VM's bucket for @a a. */
+static bool take_token(struct shares_team *t, struct admission *a, int64_t now)
 {
-	if (!a->settles)
+	if (!a->will_settle)
 		return bucket_take(&t->bucket, 1, now);
-	a->lent = bucket_lend(&t->bucket, now);
-	return a->lent;
+	a->checked_out = bucket_lend(&t->bucket, now);
+	return a->checked_out;
 }
 
 int shares_admit(struct shares *s, const char *team, struct admission *a, int64_t deadline_us,
@@ -324,31 +324,32 @@
 	bool ok;
 
 	shares_check_pause(s, now);
-	look_at_lease(s, now);
+	check_lease(s, now);
 	a->team = NULL;
-	a->lent = false;
-	/* A team without a rate of its own is not limited. */
+	a->checked_out = false;
+	/* A team without a configured rate is not limited. */
 	if (t == NULL || !t->configured)
 		return 1;
-	ok = t->n_waiting == 0 && take_for(t, a, now);
+	ok = t->n_waiting == 0 && take_token(t, a, now);
 	if (!t->fixed)
 		share_holder_arrival(&t->holder, ok, now);
 	if (ok)
 		return 1;
-	*retry_after_us = team_wait_us(t, now);
-	limit = now + longest_wait_us(t);
+	*retry_after_us = token_wait_us(t, now);
+	limit = now + max_wait_us(t);
 	if (limit > deadline_us)
 		limit = deadline_us;
-	/* A wait that must fail is not begun: the caller hears now, and when to come back. */
+	/* Refuse at once, with a retry time, when waiting is unlikely to get a token. */
 	if (t->n_waiting >= WAITING_MAX)
 		return -1;
-	if (!hopeful(t) && (t->fixed ? now < t->ask.dry_until_us : now + *retry_after_us > limit))
+	if (!team_within_rate(t) &&
+	    (t->fixed ? now < t->ask.paused_until_us : now + *retry_after_us > limit))
 		return -1;
 	a->team = t;
 	a->until_us = limit;
 	TAILQ_INSERT_TAIL(&t->waiting, a, link);
 	t->n_waiting++;
-	team_busy(t);
+	team_mark_busy(t);
 	ask_next(t, now);
 	return 0;
 }
@@ -360,7 +361,7 @@
 	while ((a = TAILQ_FIRST(&t->waiting)) != NULL) {
 		if (t->granted >= 1)
 			t->granted -= 1;
-		else if (!take_for(t, a, now))
+		else if (!take_token(t, a, now))
 			break;
 		admission_end(a, true, 0);
 	}
@@ -368,7 +369,7 @@
 	if (a != NULL)
 		t->holder.short_now = true;
 	while ((a = TAILQ_FIRST(&t->waiting)) != NULL && a->until_us <= now)
-		admission_end(a, false, team_wait_us(t, now));
+		admission_end(a, false, token_wait_us(t, now));
 }
 
 void shares_settle(struct shares *s, const char *team, struct admission *a, bool ran)
@@ -376,9 +377,9 @@
 	struct shares_team *t = shares_team(s, team);
 	int64_t now = now_us();
 
-	if (!a->lent)
+	if (!a->checked_out)
 		return;
-	a->lent = false;
+	a->checked_out = false;
 	if (t == NULL)
 		return;
 	bucket_settle(&t->bucket, !ran, now);
@@ -397,14 +398,14 @@
 {
 	const struct shares_team *t = shares_team(s, team);
 
-	return t == NULL || hopeful(t);
+	return t == NULL || team_within_rate(t);
 }
 
 unsigned team_grant(struct shares_team *t, unsigned want, int64_t now)
 {
 	unsigned granted = 0;
 
-	/* Those that wait here go first. */
+	/* Requests that wait on this VM have precedence. */
 	if (t->n_waiting > 0)
 		return 0;
 	while (granted < want && bucket_take(&t->bucket, 1, now))
@@ -422,7 +423,7 @@
 
 	shares_check_pause(s, now);
 	s->ticked_us = now;
-	look_at_lease(s, now);
+	check_lease(s, now);
 	TAILQ_FOREACH_SAFE(t, &s->busy, busy_link, next) {
 		team_admit_waiting(t, now);
 		ask_next(t, now);
@@ -433,7 +434,7 @@
 	}
 	if (s->n_moving > 0)
 		report_tick(s, now);
-	shares_pace(s);
+	update_tick_interval(s);
 }
 
 static gboolean shares_start(struct service *service, GError **error)
@@ -451,8 +452,8 @@
 }
 
 /**
- * Give up all parts; this comes before the fleet is told of leaving, and lets others have them at
- * once.
+ * Gives up all parts. This happens before the VM announces to the fleet that it leaves, so that
+ * other VMs can use the parts at once.
  */
 static void shares_drain(struct service *service)
 {
@@ -497,7 +498,7 @@
 	return &s->service;
 }
 
-void shares_log(struct shares *s, const char *team, const char *request)
+void shares_log_refusal(struct shares *s, const char *team, const char *request)
 {
 	const struct shares_team *t = shares_team(s, team);
 
@@ -511,8 +512,8 @@
 		 LOG_NUM("demand_milli", t->holder.demand * 1000),
 		 LOG_NUM("team_over", t->holder.over), LOG_NUM("waiting", t->n_waiting),
 		 LOG_NUM("listed", s->listed), LOG_NUM("fixed", t->fixed),
-		 LOG_NUM("got_permille", t->ask.got * 1000),
-		 LOG_NUM("dry_ms", (t->ask.dry_until_us - now_us()) / USEC_PER_MSEC),
+		 LOG_NUM("got_permille", t->ask.success_ratio * 1000),
+		 LOG_NUM("dry_ms", (t->ask.paused_until_us - now_us()) / USEC_PER_MSEC),
 		 LOG_NUM("report_age_ms", (now_us() - t->holder.reported_us) / USEC_PER_MSEC));
 }
 
--- a/src/shares.h
+++ b/src/shares.h
@@ -1,8 +1,11 @@
 /**
  * @file shares.h
- * Admission: a request of a team takes a token from this VM's part of the team's rate, or waits for
- * one a little, or is refused with when to come back. The parts are moved between VMs by
- * decide/share.c.
+ * Admission control by team rate. A request takes a token from this VM's part of its team's rate,
+ * waits a short time for one, or is refused with the time after which to retry. decide/share.h
+ * describes how parts move between VMs, decide/part.h the parts that stay in place.
+ *
+ * A team is the tenant that a caller's credentials belong to; its rate and burst (token bucket)
+ * hold for the whole fleet of VMs.
  */
 #ifndef SHARES_H
 #define SHARES_H
@@ -13,14 +16,15 @@
 
 struct shares;
 
-/** Embedded in what waits for admission. */
+/** A request for one token; embedded in the object that waits for admission. */
 struct admission {
 	TAILQ_ENTRY(admission) link;
 	struct shares_team *team; /**< NULL while it does not wait */
-	int64_t until_us;
-	bool settles; /**< set by who embeds it: shares_settle() will follow */
-	bool lent;    /**< its token is out of this VM's bucket, to be settled */
-	/** Called once, from the loop: admitted, or refused with when a token is likely. */
+	int64_t until_us;	  /**< end of the wait */
+	bool will_settle;	  /**< set by the embedding object: it will call shares_settle() */
+	bool checked_out; /**< its token is checked out of this VM's bucket, not yet settled */
+	/** Called once, from the loop: admitted, or refused with the time until a token is likely.
+	 */
 	void (*done)(struct admission *a, bool admitted, int64_t retry_after_us);
 };
 TAILQ_HEAD(admissions, admission);
@@ -28,26 +32,28 @@
 struct service *shares_service_create(struct kernel *k);
 struct shares *shares_of(struct kernel *k);
 /**
- * Ask for a token of @a team.
- * @return 1 when admitted now, 0 when a->done will tell, -1 when refused now with *retry_after_us
+ * Asks for a token of @a team.
+ * @return 1 when admitted now, 0 when a->done will be called with the result, -1 when refused now,
+ * with *retry_after_us set
  */
 int shares_admit(struct shares *s, const char *team, struct admission *a, int64_t deadline_us,
 		 int64_t *retry_after_us);
-/** Stop waiting; a->done is not called. */
+/** Stops waiting; a->done is not called. */
 void shares_cancel(struct admission *a);
 /**
- * The operation that @a a admitted is over, or has begun to run. Each try of an operation takes a
- * token; while a group had no primary, its callers' tries used up their teams' rates, and
- * operations on other groups were refused. The token of one that has not run goes to the next.
+ * Settles the token of @a a once its operation has ended or begun to run. With @a ran false the
+ * token returns to the bucket for the next request: while a group has no primary its callers retry,
+ * each try takes a token, and without the return these tries would use up the team's rate for
+ * operations on other groups too.
  */
 void shares_settle(struct shares *s, const char *team, struct admission *a, bool ran);
-/** The team's weight in queues: its rate. */
+/** Returns the team's weight in fair queues, which is its rate. */
 double shares_weight(struct shares *s, const char *team);
-/** Whether the team as a whole is thought to be within its rate. */
+/** Returns whether the team's demand over the whole fleet is believed to be within its rate. */
 bool shares_within_rate(struct shares *s, const char *team);
-/** Log what decided that @a request of @a team found no token. */
-void shares_log(struct shares *s, const char *team, const char *request);
-/** Teams for `mangoloom status`. */
+/** Logs the state that led to refusing @a request of @a team for lack of a token. */
+void shares_log_refusal(struct shares *s, const char *team, const char *request);
+/** Writes the teams for `mangoloom status`. */
 void shares_json(struct shares *s, JsonBuilder *b);
 
 #endif
--- a/tests/test-parts.c
+++ b/tests/test-parts.c
@@ -1,4 +1,4 @@
-/** @file test-parts.c Claiming fixed parts of the rates in a store that the test plays. */
+/** @file test-parts.c Claims of fixed parts of rates, against a fake store. */
 #include "fleet-store-source.h"
 #include "harness.h"
 #include "parts.h"
@@ -8,39 +8,39 @@
 #define SELF "127.0.0.1:1"
 #define KEY0 FLEET_STORE_PARTS "dc/0"
 #define LEASE 7
-/** Lists and claims take some turns of the loop and a tick of 100 ms. */
+/** Long enough for a list of VMs and a claim: some loop iterations and a tick of 100 ms. */
 #define SETTLE_MS 350
 
-/** What the store was asked last for part 0, and what it answers. */
+/** The last request for part 0 to the fake store, and the answer that it gives. */
 static struct {
 	struct store store;
 	enum store_status status;
-	const char *standing; /**< value that a conflict tells, or NULL */
-	uint64_t standing_revision;
+	const char *conflict_value; /**< value of the key that a conflict returns, or NULL */
+	uint64_t conflict_revision;
 	unsigned commits;
 	uint64_t guard;
 	uint64_t lease;
 	char *value;
-} played;
+} fake;
 
-static struct store_call *played_commit(struct store *s, const struct store_guard *guards,
-					unsigned n_guards, const struct store_write *writes,
-					unsigned n_writes, store_done cb, void *arg)
+static struct store_call *fake_commit(struct store *s, const struct store_guard *guards,
+				      unsigned n_guards, const struct store_write *writes,
+				      unsigned n_writes, store_done cb, void *arg)
 {
 	struct store_answer a = {.status = STORE_REFUSED};
-	struct store_item item = {.key = KEY0, .revision = played.standing_revision};
+	struct store_item item = {.key = KEY0, .revision = fake.conflict_revision};
 
 	a.items = g_ptr_array_new();
 	if (strcmp(writes[0].key, KEY0) == 0) {
-		played.commits++;
-		played.guard = guards[0].revision;
-		played.lease = writes[0].lease;
-		g_free(played.value);
-		played.value = g_strdup(writes[0].value);
-		a.status = played.status;
+		fake.commits++;
+		fake.guard = guards[0].revision;
+		fake.lease = writes[0].lease;
+		g_free(fake.value);
+		fake.value = g_strdup(writes[0].value);
+		a.status = fake.status;
 		a.revision = era_revision(store_source.era.now, 30);
-		item.value = (char *)played.standing;
-		if (a.status == STORE_CONFLICT && played.standing != NULL)
+		item.value = (char *)fake.conflict_value;
+		if (a.status == STORE_CONFLICT && fake.conflict_value != NULL)
 			g_ptr_array_add(a.items, &item);
 	}
 	cb(&a, arg);
@@ -48,7 +48,7 @@
 	return NULL;
 }
 
-static const struct store_ops played_ops = {.commit = played_commit};
+static const struct store_ops fake_ops = {.commit = fake_commit};
 
 struct world {
 	struct settings settings;
@@ -69,10 +69,10 @@
 	struct service *s;
 
 	memset(w, 0, sizeof(*w));
-	g_free(played.value);
-	memset(&played, 0, sizeof(played));
-	played.store.ops = &played_ops;
-	played.status = status;
+	g_free(fake.value);
+	memset(&fake, 0, sizeof(fake));
+	fake.store.ops = &fake_ops;
+	fake.status = status;
 	g_strlcpy(w->settings.name, "vm-1", sizeof(w->settings.name));
 	g_strlcpy(w->settings.advertise, SELF, sizeof(w->settings.advertise));
 	g_strlcpy(w->settings.data_center, "dc", sizeof(w->settings.data_center));
@@ -84,7 +84,7 @@
 	fleet_service_create(w->k);
 	s = parts_service_create(w->k);
 	w->parts = parts_of(w->k);
-	store_source.store = &played.store;
+	store_source.store = &fake.store;
 	store_source.lease = LEASE;
 	store_source.registered = true;
 	store_source.registration = 1;
@@ -92,7 +92,7 @@
 	CU_ASSERT_TRUE(s->ops->start(s, NULL));
 }
 
-/** The list of VMs: this one, and @a part0 as the holder of part 0. */
+/** Delivers a list of VMs with this VM, and with @a part0 as the entry of part 0. */
 static void list(struct world *w, uint64_t revision, const char *part0)
 {
 	char *text = g_strdup_printf("[%s%s{\"name\":\"vm-1\",\"address\":\"" SELF
@@ -121,22 +121,22 @@
 
 	world_open(&w, STORE_DONE);
 	run(&w);
-	/* Nothing is known of the others before the list. */
-	CU_ASSERT_EQUAL(played.commits, 0);
+	/* Before the list of VMs arrives, other holders are not known. */
+	CU_ASSERT_EQUAL(fake.commits, 0);
 	list(&w, 5, "");
 	run(&w);
-	CU_ASSERT_EQUAL(played.commits, 1);
-	CU_ASSERT_EQUAL(played.guard, 0);
-	CU_ASSERT_EQUAL(played.lease, LEASE);
+	CU_ASSERT_EQUAL(fake.commits, 1);
+	CU_ASSERT_EQUAL(fake.guard, 0);
+	CU_ASSERT_EQUAL(fake.lease, LEASE);
 	CU_ASSERT_TRUE(held0(&w));
 	CU_ASSERT_EQUAL(parts_inherited(w.parts), 0);
-	/* The list of VMs tells it to all. */
-	list(&w, 6, played.value);
+	/* The list of VMs shows the holder to all VMs. */
+	list(&w, 6, fake.value);
 	CU_ASSERT_STRING_EQUAL(fleet_part(fleet_of(w.k), "dc", 0)->vm, "vm-1");
 	CU_ASSERT_PTR_NULL(fleet_part(fleet_of(w.k), "dc", 1));
 }
 
-/* A team's rate would be passed: what another VM holds is not spent here as well. */
+/* Guards against two VMs spending the same part, which would exceed a team's rate. */
 static void test_a_part_of_another_vm_is_left_alone(void)
 {
 	char *other = part_of("vm-2", 4, 9);
@@ -145,7 +145,7 @@
 	world_open(&w, STORE_DONE);
 	list(&w, 5, other);
 	run(&w);
-	CU_ASSERT_EQUAL(played.commits, 0);
+	CU_ASSERT_EQUAL(fake.commits, 0);
 	CU_ASSERT_FALSE(held0(&w));
 	g_free(other);
 }
@@ -157,37 +157,40 @@
 	struct world w;
 
 	world_open(&w, STORE_CONFLICT);
-	played.standing = other;
-	played.standing_revision = 20;
+	fake.conflict_value = other;
+	fake.conflict_revision = 20;
 	list(&w, 5, "");
 	run(&w);
-	CU_ASSERT_EQUAL(played.commits, 1);
+	CU_ASSERT_EQUAL(fake.commits, 1);
 	CU_ASSERT_FALSE(held0(&w));
 	g_free(other);
 }
 
 /*
- * A team is refused in a whole data centre for the 12 s of a lease though the VM is back after one.
- * The part still stands in the name of its former process, which has surely ended.
+ * Guards against a team being refused in a whole data centre for the 12 s of a lease although its
+ * VM restarted within 1 s: the part's key still names the VM's previous process, which has ended.
  */
 static void test_a_restarted_vm_takes_its_part_back(void)
 {
-	char *former = part_of("vm-1", 4, 9);
-	struct store_item item = {.key = KEY0, .value = former, .revision = 20};
+	char *previous = part_of("vm-1", 4, 9);
+	struct store_item item = {.key = KEY0, .value = previous, .revision = 20};
 	struct world w;
 
 	world_open(&w, STORE_DONE);
 	store_source.listeners[0].cb(&item, w.parts);
-	list(&w, 5, former);
+	list(&w, 5, previous);
 	run(&w);
-	CU_ASSERT_EQUAL(played.commits, 1);
-	CU_ASSERT_EQUAL(played.guard, 20);
+	CU_ASSERT_EQUAL(fake.commits, 1);
+	CU_ASSERT_EQUAL(fake.guard, 20);
 	CU_ASSERT_TRUE(held0(&w));
 	CU_ASSERT_EQUAL(parts_inherited(w.parts), 1);
-	g_free(former);
+	g_free(previous);
 }
 
-/* The store wrote the claim and its answer was lost: the next claim finds the own value there. */
+/*
+ * Guards against a part staying unused when the store wrote the claim but the answer was lost. The
+ * list of VMs then shows this VM's own key.
+ */
 static void test_a_claim_whose_answer_was_lost_is_found(void)
 {
 	struct world w;
@@ -196,14 +199,15 @@
 	list(&w, 5, "");
 	run(&w);
 	CU_ASSERT_FALSE(held0(&w));
-	list(&w, 6, played.value);
+	list(&w, 6, fake.value);
 	run(&w);
 	CU_ASSERT_TRUE(held0(&w));
 }
 
 /*
- * A team's rate would be passed: the lease has ended, so the store may have given the part to
- * another VM. It is not spent any more, also when a new lease is there before the news.
+ * Guards against exceeding a team's rate: after the lease has ended the store may have given the
+ * part to another VM. The part must not be spent, even if this VM has a new lease before it
+ * receives the store's update of the key.
  */
 static void test_a_part_ends_with_its_lease(void)
 {
@@ -219,16 +223,19 @@
 	store_source.lease = LEASE + 1;
 	store_source.lease_until_us = now_us() + USEC_PER_SEC;
 	CU_ASSERT_FALSE(held0(&w));
-	/* What this process spent before may not be spent again: nothing is inherited. */
-	item.value = played.value;
+	/* This process has already spent tokens of the part, so no unspent ones are credited. */
+	item.value = fake.value;
 	store_source.listeners[0].cb(&item, w.parts);
 	run(&w);
 	CU_ASSERT_TRUE(held0(&w));
 	CU_ASSERT_EQUAL(parts_inherited(w.parts), 0);
 }
 
-/* Guards against a part that the store has lost being spent beside its next holder. */
-static void test_a_part_of_a_former_era_is_claimed_again(void)
+/*
+ * Guards against two holders of a part: a store that came back from an older copy has lost the key,
+ * and may give the part to another VM.
+ */
+static void test_a_part_of_an_earlier_era_is_claimed_again(void)
 {
 	struct world w;
 
@@ -237,19 +244,22 @@
 	list(&w, 5, "");
 	run(&w);
 	CU_ASSERT_TRUE(held0(&w));
-	/* Others know that this VM may go on until its lease of that era ends. */
+	/* Other VMs allow this VM to go on until its lease of the earlier era ends. */
 	era_observe(&store_source.era, 2, now_us());
 	CU_ASSERT_TRUE(held0(&w));
 	store_source.lease_era = 2;
 	CU_ASSERT_FALSE(held0(&w));
-	list(&w, 6, played.value);
+	list(&w, 6, fake.value);
 	run(&w);
-	CU_ASSERT_EQUAL(played.commits, 2);
-	CU_ASSERT_EQUAL(played.guard, 0);
+	CU_ASSERT_EQUAL(fake.commits, 2);
+	CU_ASSERT_EQUAL(fake.guard, 0);
 	CU_ASSERT_TRUE(held0(&w));
 }
 
-/* Guards against a part being claimed whose holder has only been lost by the store. */
+/*
+ * Guards against claiming a part whose holder still has a lease, when a store that came back from
+ * an older copy has lost the key. The claim waits until all leases of the earlier era have ended.
+ */
 static void test_a_free_part_waits_until_the_era_is_settled(void)
 {
 	struct world w;
@@ -258,10 +268,10 @@
 	store_source.era = (struct era){.now = 2, .since_us = now_us()};
 	list(&w, 5, "");
 	run(&w);
-	CU_ASSERT_EQUAL(played.commits, 0);
+	CU_ASSERT_EQUAL(fake.commits, 0);
 	store_source.era.since_us -= LEASE_TTL_US;
 	run(&w);
-	CU_ASSERT_EQUAL(played.commits, 1);
+	CU_ASSERT_EQUAL(fake.commits, 1);
 	CU_ASSERT_TRUE(held0(&w));
 }
 
@@ -272,7 +282,8 @@
 	{"a_restarted_vm_takes_its_part_back", test_a_restarted_vm_takes_its_part_back},
 	{"a_claim_whose_answer_was_lost_is_found", test_a_claim_whose_answer_was_lost_is_found},
 	{"a_part_ends_with_its_lease", test_a_part_ends_with_its_lease},
-	{"a_part_of_a_former_era_is_claimed_again", test_a_part_of_a_former_era_is_claimed_again},
+	{"a_part_of_an_earlier_era_is_claimed_again",
+	 test_a_part_of_an_earlier_era_is_claimed_again},
 	{"a_free_part_waits_until_the_era_is_settled",
 	 test_a_free_part_waits_until_the_era_is_settled},
 };
--- a/tests/test-shares.c
+++ b/tests/test-shares.c
@@ -1,4 +1,4 @@
-/** @file test-shares.c The service that admits requests by their teams' rates, on one VM. */
+/** @file test-shares.c Admission of requests within their teams' rates, on one VM. */
 #include "fleet-store-source.h"
 #include "fleet.h"
 #include "harness.h"
@@ -84,10 +84,10 @@
 }
 
 /*
- * Whenever a VM starts, some teams' requests are refused all over the fleet for seconds.
- * Before it knows the other VMs, a VM takes itself for the allocator of all teams and binds itself
- * to an epoch of its own. When that epoch happens to be the higher one, the real allocator begins
- * again above it and must hear from all VMs anew before it gives out anything.
+ * Guards against some teams' requests being refused in the whole fleet for seconds whenever a VM
+ * starts. A VM that does not know the others yet would make itself the allocator of all teams with
+ * an epoch of its own. If that epoch is the higher one, the real allocator has to start over above
+ * it, and gives out nothing before all VMs have reported to it again.
  */
 static void test_no_allocator_before_the_list_is_known(void)
 {
@@ -95,7 +95,7 @@
 	struct world w;
 
 	world_open_rate(&w, 100);
-	/* Without a tolerance nothing can be in fixed parts: the rate moves between VMs. */
+	/* Without a tolerance there are no fixed parts: the rate moves between VMs. */
 	w.settings.rate_window_s = 0;
 	run_ms(&w, 60);
 	CU_ASSERT_FALSE(allocates(&w));
@@ -107,26 +107,26 @@
 
 /* A VM that holds a part */
 
-/** Another VM, in this process: it grants what the test says. */
-static struct keeper {
+/** Another VM, run in this process: it holds the fixed parts and grants up to @a tokens. */
+static struct holder {
 	struct settings settings;
 	struct kernel *k;
 	char address[ADDRESS_SIZE];
 	unsigned tokens;
 	unsigned calls;
-} keeper;
+} holder;
 
-static void keeper_serve(struct rpc_request *rq, const void *args, void *owner)
+static void holder_serve(struct rpc_request *rq, const void *args, void *owner)
 {
 	const ml_tokens_args *a = args;
-	ml_tokens_res res = {.granted = MIN(a->want, keeper.tokens)};
+	ml_tokens_res res = {.granted = MIN(a->want, holder.tokens)};
 
-	keeper.calls++;
-	keeper.tokens -= res.granted;
+	holder.calls++;
+	holder.tokens -= res.granted;
 	rpc_reply(rq, &res);
 }
 
-/** A port that nobody has now. */
+/** Finds a free port. */
 static void free_address(char address[ADDRESS_SIZE])
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET};
@@ -140,21 +140,21 @@
 	g_snprintf(address, ADDRESS_SIZE, "127.0.0.1:%u", ntohs(sin.sin_port));
 }
 
-static void keeper_open(struct world *w)
+static void holder_open(struct world *w)
 {
 	char *text;
 
-	memset(&keeper, 0, sizeof(keeper));
-	g_strlcpy(keeper.settings.name, "vm-2", sizeof(keeper.settings.name));
-	g_strlcpy(keeper.settings.advertise, "127.0.0.1:2", sizeof(keeper.settings.advertise));
-	keeper.settings.silent_ms = 600;
-	keeper.k = kernel_create(&keeper.settings);
-	event_base_free(keeper.k->base);
-	keeper.k->base = w->k->base;
-	rpc_service_create(keeper.k);
-	rpc_serve(rpc_of(keeper.k), ML_TOKENS, keeper_serve, NULL);
-	free_address(keeper.address);
-	CU_ASSERT_TRUE_FATAL(rpc_listen(rpc_of(keeper.k), keeper.address, NULL));
+	memset(&holder, 0, sizeof(holder));
+	g_strlcpy(holder.settings.name, "vm-2", sizeof(holder.settings.name));
+	g_strlcpy(holder.settings.advertise, "127.0.0.1:2", sizeof(holder.settings.advertise));
+	holder.settings.silent_ms = 600;
+	holder.k = kernel_create(&holder.settings);
+	event_base_free(holder.k->base);
+	holder.k->base = w->k->base;
+	rpc_service_create(holder.k);
+	rpc_serve(rpc_of(holder.k), ML_TOKENS, holder_serve, NULL);
+	free_address(holder.address);
+	CU_ASSERT_TRUE_FATAL(rpc_listen(rpc_of(holder.k), holder.address, NULL));
 	text = g_strdup_printf(
 		"[{\"part\":0,\"name\":\"vm-2\",\"address\":\"%s\",\"data_center\":\"dc\","
 		"\"incarnation\":\"9\",\"lease\":\"1\"},"
@@ -167,7 +167,7 @@
 		"{\"name\":\"vm-1\",\"address\":\"" SELF "\",\"data_center\":\"dc\"},"
 		"{\"name\":\"vm-2\",\"address\":\"%s\",\"data_center\":\"dc\","
 		"\"incarnation\":\"9\"}]",
-		keeper.address, keeper.address, keeper.address, keeper.address, keeper.address);
+		holder.address, holder.address, holder.address, holder.address, holder.address);
 	fleet_apply_vms(fleet_of(w->k), 5, text);
 	g_free(text);
 }
@@ -188,12 +188,12 @@
 
 	memset(r, 0, sizeof(*r));
 	r->a.done = on_done;
-	r->a.settles = true;
+	r->a.will_settle = true;
 	r->verdict = shares_admit(w->shares, TEAM, &r->a, now_us() + USEC_PER_SEC, &retry_us);
 }
 
-/** So many requests in vain that the team counts as over its rate. */
-static void run_dry(struct world *w)
+/** Sends so many requests without getting a token that the team counts as over its rate. */
+static void exhaust_tokens(struct world *w)
 {
 	struct request r;
 	int i;
@@ -205,7 +205,10 @@
 	}
 }
 
-/* A VM without a part has its requests admitted by one that has: each token serves one. */
+/*
+ * Guards against requests being refused on a VM that holds no part while another VM has tokens, and
+ * against one token serving two requests.
+ */
 static void test_tokens_of_another_vm_are_asked_for(void)
 {
 	struct request r[3];
@@ -213,8 +216,8 @@
 	int i;
 
 	world_open_rate(&w, 3);
-	keeper_open(&w);
-	keeper.tokens = 2;
+	holder_open(&w);
+	holder.tokens = 2;
 	for (i = 0; i < 3; i++)
 		request(&w, &r[i]);
 	run_ms(&w, 500);
@@ -224,47 +227,47 @@
 }
 
 /*
- * A team is refused at one VM for the rest of the day, though it is far below its rate.
- * Its requests found no token for a moment, so this VM took the team to be over its rate and
- * refused at once, without asking; and as it did not ask, nothing could show that there were tokens
- * again. A refusal at once may only follow an answer of moments ago.
+ * Guards against a VM refusing a team for good although the team is far below its rate. After a
+ * short lack of tokens the VM considered the team over its rate and refused at once without asking
+ * other VMs; as it never asked, it could not see that tokens were available again. It may refuse
+ * without asking only shortly after other VMs had no tokens.
  */
-static void test_tokens_that_are_back_are_found(void)
+static void test_other_vms_are_asked_again_after_a_lack_of_tokens(void)
 {
 	struct request r;
 	struct world w;
 
 	world_open_rate(&w, 3);
-	keeper_open(&w);
-	run_dry(&w);
+	holder_open(&w);
+	exhaust_tokens(&w);
 	CU_ASSERT_FALSE(shares_within_rate(w.shares, TEAM));
-	keeper.tokens = 100;
+	holder.tokens = 100;
 	run_ms(&w, 100);
 	request(&w, &r);
 	run_ms(&w, 100);
 	CU_ASSERT_EQUAL(r.verdict, 1);
 }
 
-/* Right after nobody had a token, a team over its rate is refused without a call. */
-static void test_no_tokens_are_not_asked_for_at_once_again(void)
+/* Right after no VM had a token, a request of a team over its rate is refused without an RPC. */
+static void test_vms_without_tokens_are_not_asked_again_at_once(void)
 {
 	struct request r;
 	struct world w;
 	unsigned calls;
 
 	world_open_rate(&w, 3);
-	keeper_open(&w);
-	run_dry(&w);
+	holder_open(&w);
+	exhaust_tokens(&w);
 	request(&w, &r);
 	run_ms(&w, 20);
-	calls = keeper.calls;
+	calls = holder.calls;
 	CU_ASSERT_TRUE(calls > 0);
 	request(&w, &r);
 	CU_ASSERT_EQUAL(r.verdict, -1);
-	CU_ASSERT_EQUAL(keeper.calls, calls);
+	CU_ASSERT_EQUAL(holder.calls, calls);
 }
 
-/** This VM itself holds all parts of its data centre, under a lease of a second. */
+/** Makes this VM the holder of all parts of its data centre, under a lease of 1 s. */
 static void hold_parts(struct world *w)
 {
 	GString *text = g_string_new("[");
@@ -290,10 +293,11 @@
 }
 
 /*
- * A team passes its rate. A VM stands still for longer than its lease, and another one has its
- * parts by then; when it wakes, requests are read before its timers have looked at the lease.
+ * Guards against a team exceeding its rate after a VM was paused for longer than its lease. Another
+ * VM holds its parts by then; when the VM resumes, it reads requests before its timers have checked
+ * the lease.
  */
-static void test_a_vm_that_stood_still_spends_nothing(void)
+static void test_a_vm_paused_beyond_its_lease_spends_nothing(void)
 {
 	struct service *parts;
 	struct request r;
@@ -314,11 +318,11 @@
 }
 
 /*
- * A group has no primary, and its callers' tries are refused without having run; each took a token,
- * and operations on other groups were refused for want of one. The token of what has not run goes
- * to the next operation, also to one that waits.
+ * Guards against operations being refused for lack of tokens because another group has no primary:
+ * the tries of that group's callers each took a token and were refused without having run. The
+ * token of an operation that did not run goes to the next one, including one that waits already.
  */
-static void test_what_has_not_run_gives_its_token_back(void)
+static void test_an_operation_that_did_not_run_returns_its_token(void)
 {
 	struct request r[2];
 	struct world w;
@@ -332,10 +336,10 @@
 		request(&w, &r[n++ % 2]);
 	while (r[(n - 1) % 2].verdict == 1);
 	CU_ASSERT_TRUE_FATAL(n > 1);
-	/* The last one waits; the one before it has not run. */
+	/* The last request waits; the one before it did not run. */
 	shares_settle(w.shares, TEAM, &r[n % 2].a, false);
 	CU_ASSERT_EQUAL(r[(n - 1) % 2].verdict, 1);
-	/* What has run keeps its token. */
+	/* The token of an operation that ran is not returned. */
 	shares_settle(w.shares, TEAM, &r[(n - 1) % 2].a, true);
 	request(&w, &r[0]);
 	CU_ASSERT_NOT_EQUAL(r[0].verdict, 1);
@@ -343,12 +347,15 @@
 }
 
 static const struct test_case cases[] = {
-	{"what_has_not_run_gives_its_token_back", test_what_has_not_run_gives_its_token_back},
+	{"an_operation_that_did_not_run_returns_its_token",
+	 test_an_operation_that_did_not_run_returns_its_token},
 	{"no_allocator_before_the_list_is_known", test_no_allocator_before_the_list_is_known},
 	{"tokens_of_another_vm_are_asked_for", test_tokens_of_another_vm_are_asked_for},
-	{"tokens_that_are_back_are_found", test_tokens_that_are_back_are_found},
-	{"a_vm_that_stood_still_spends_nothing", test_a_vm_that_stood_still_spends_nothing},
-	{"no_tokens_are_not_asked_for_at_once_again",
-	 test_no_tokens_are_not_asked_for_at_once_again},
+	{"other_vms_are_asked_again_after_a_lack_of_tokens",
+	 test_other_vms_are_asked_again_after_a_lack_of_tokens},
+	{"a_vm_paused_beyond_its_lease_spends_nothing",
+	 test_a_vm_paused_beyond_its_lease_spends_nothing},
+	{"vms_without_tokens_are_not_asked_again_at_once",
+	 test_vms_without_tokens_are_not_asked_again_at_once},
 };
 HARNESS_MAIN("shares", cases)
