--- a/decide/bucket.c
+++ b/decide/bucket.c
@@ -1,35 +1,35 @@
 /** @file bucket.c Token bucket. */
 #include "bucket.h"
 
-/** A wait longer than this counts as never: a day. */
+/** Waits longer than a day are reported as "never". */
 #define WAIT_MAX_US (86400 * USEC_PER_SEC)
 
-/** Tokens that may be held beside those that are out. */
-static double room(const struct bucket *b)
+/** Most tokens that may be held: the burst less the reserved tokens, which may be refunded. */
+static double refill_limit(const struct bucket *b)
 {
-	return b->burst > b->out ? b->burst - b->out : 0;
+	return b->burst > b->reserved ? b->burst - b->reserved : 0;
 }
 
 static void bucket_fill(struct bucket *b, int64_t now_us)
 {
 	double tokens;
 
-	if (now_us <= b->at_us)
+	if (now_us <= b->updated_us)
 		return;
-	tokens = b->tokens + b->rate * (double)(now_us - b->at_us) / (double)USEC_PER_SEC;
-	if (tokens > room(b))
-		tokens = room(b) > b->tokens ? room(b) : b->tokens;
+	tokens = b->tokens + b->rate * (double)(now_us - b->updated_us) / (double)USEC_PER_SEC;
+	if (tokens > refill_limit(b))
+		tokens = refill_limit(b) > b->tokens ? refill_limit(b) : b->tokens;
 	b->tokens = tokens;
-	b->at_us = now_us;
+	b->updated_us = now_us;
 }
 
 void bucket_init(struct bucket *b, double rate, double burst, double tokens, int64_t now_us)
 {
 	b->rate = rate;
 	b->burst = burst;
-	b->out = 0;
+	b->reserved = 0;
 	b->tokens = tokens < burst ? tokens : burst;
-	b->at_us = now_us;
+	b->updated_us = now_us;
 }
 
 void bucket_resize(struct bucket *b, double rate, double burst, int64_t now_us)
@@ -44,7 +44,7 @@
 void bucket_credit(struct bucket *b, double n, int64_t now_us)
 {
 	bucket_fill(b, now_us);
-	b->tokens = b->tokens + n < room(b) ? b->tokens + n : room(b);
+	b->tokens = b->tokens + n < refill_limit(b) ? b->tokens + n : refill_limit(b);
 }
 
 bool bucket_take(struct bucket *b, double n, int64_t now_us)
@@ -56,22 +56,22 @@
 	return true;
 }
 
-bool bucket_lend(struct bucket *b, int64_t now_us)
+bool bucket_reserve(struct bucket *b, int64_t now_us)
 {
 	if (!bucket_take(b, 1, now_us))
 		return false;
-	b->out += 1;
+	b->reserved += 1;
 	return true;
 }
 
-void bucket_settle(struct bucket *b, bool back, int64_t now_us)
+void bucket_settle(struct bucket *b, bool refund, int64_t now_us)
 {
 	bucket_fill(b, now_us);
-	if (b->out < 1)
+	if (b->reserved < 1)
 		return;
-	b->out -= 1;
-	if (back)
-		b->tokens = b->tokens + 1 < room(b) ? b->tokens + 1 : room(b);
+	b->reserved -= 1;
+	if (refund)
+		b->tokens = b->tokens + 1 < refill_limit(b) ? b->tokens + 1 : refill_limit(b);
 }
 
 int64_t bucket_wait_us(struct bucket *b, double n, int64_t now_us)
--- a/decide/bucket.h
+++ b/decide/bucket.h
@@ -1,7 +1,7 @@
 /**
  * @file bucket.h
- * A token bucket whose rate and burst may change while it runs, without ever giving more than both
- * allow.
+ * Token bucket: tokens accrue at a rate, up to the burst, and each operation takes some. Rate and
+ * burst may change at run time; a change never creates tokens.
  */
 #ifndef DECIDE_BUCKET_H
 #define DECIDE_BUCKET_H
@@ -9,36 +9,39 @@
 #include "types.h"
 
 struct bucket {
-	double rate;   /**< tokens a second */
-	double burst;  /**< most tokens held */
-	double tokens; /**< tokens held at @a at_us */
-	double out;    /**< tokens lent, and not settled */
-	int64_t at_us;
+	double rate;	 /**< tokens a second */
+	double burst;	 /**< most tokens held */
+	double tokens;	 /**< tokens held at @a at_us */
+	double reserved; /**< tokens reserved and not settled yet */
+	int64_t updated_us;
 };
 
-/** Start with @a tokens held. */
+/** Initialise the bucket with @a tokens held. */
 void bucket_init(struct bucket *b, double rate, double burst, double tokens, int64_t now_us);
 
-/** Change rate and burst. Tokens above the new burst are dropped; a higher burst starts empty. */
+/** Change rate and burst. Tokens above the new burst are dropped; raising the burst adds none. */
 void bucket_resize(struct bucket *b, double rate, double burst, int64_t now_us);
 
-/** Add @a n tokens that were not spent elsewhere, up to the burst. */
+/**
+ * Add @a n tokens, up to the burst. A negative @a n takes tokens without a check, so that the
+ * balance may become negative.
+ */
 void bucket_credit(struct bucket *b, double n, int64_t now_us);
 
-/** Take @a n tokens. @return false, with none taken, when there are fewer. */
+/** Take @a n tokens. @return false, with none taken, when fewer are held. */
 bool bucket_take(struct bucket *b, double n, int64_t now_us);
 
 /**
- * Take a token for something that may turn out not to be done; bucket_settle() follows. While it is
- * out it counts as held: all that is out may come back at once, and must not come on top of a
- * burst that has filled up meanwhile.
- */
-bool bucket_lend(struct bucket *b, int64_t now_us);
-/** What the token was lent for is over; with @a back it was not done, and the token is held again.
+ * Reserve a token for an operation that may turn out not to run; bucket_settle() must follow.
+ * Reserved tokens count towards the burst: all of them may be refunded at once, and without this
+ * the refund would come on top of a burst that has refilled in the meantime.
+ * @return false when no token is held
  */
-void bucket_settle(struct bucket *b, bool back, int64_t now_us);
+bool bucket_reserve(struct bucket *b, int64_t now_us);
+/** Settle a reserved token. With @a refund the operation did not run, and the token is returned. */
+void bucket_settle(struct bucket *b, bool refund, int64_t now_us);
 
-/** Microseconds until @a n tokens are held; INT64_MAX when that never happens. */
+/** @return microseconds until @a n tokens are held; INT64_MAX when that never happens */
 int64_t bucket_wait_us(struct bucket *b, double n, int64_t now_us);
 
 #endif
--- a/decide/conf.c
+++ b/decide/conf.c
@@ -61,7 +61,7 @@
 	return g_strdup_printf("%s %s", team, kind);
 }
 
-static void conf_forget_route(struct conf *c, const struct conf_entry *e)
+static void conf_remove_route(struct conf *c, const struct conf_entry *e)
 {
 	char *key = route_key(e->route.team, e->route.kind);
 
@@ -77,13 +77,13 @@
 	if (old == NULL)
 		return;
 	if (old->kind == CONF_ROUTE)
-		conf_forget_route(c, old);
+		conf_remove_route(c, old);
 	if (old->kind == CONF_POOL)
 		g_hash_table_remove(c->pools, old->pool.name);
 	g_hash_table_remove(c->entries, id);
 }
 
-/* The sorted entries; a change of few keeps the order of the others. */
+/* The sorted list of entries; a change of few entries updates it in place, without a new sort. */
 
 guint conf_sorted_find(const GPtrArray *sorted, const char *id)
 {
@@ -101,7 +101,7 @@
 	return low;
 }
 
-/** @a e stands for its id from now on, in place of what did. */
+/** Add @a e to the sorted list, in place of an entry or tombstone with its id. */
 static void sorted_put(struct conf *c, struct conf_entry *e)
 {
 	const struct conf_entry *at;
@@ -117,7 +117,7 @@
 		g_ptr_array_insert(c->sorted, (gint)i, e);
 }
 
-/** A tombstone is forgotten. */
+/** Remove the tombstone @a e from the sorted list. */
 static void sorted_drop(struct conf *c, const struct conf_entry *e)
 {
 	guint i;
@@ -129,7 +129,7 @@
 		g_ptr_array_remove_index(c->sorted, i);
 }
 
-static void conf_bury(struct conf *c, struct conf_entry *e)
+static void conf_add_tombstone(struct conf *c, struct conf_entry *e)
 {
 	struct conf_entry *oldest;
 
@@ -154,7 +154,7 @@
 	sorted_put(c, e);
 	conf_remove(c, e->id);
 	if (e->removed) {
-		conf_bury(c, e);
+		conf_add_tombstone(c, e);
 		return;
 	}
 	g_hash_table_insert(c->entries, e->id, conf_entry_add_ref(e));
@@ -164,8 +164,8 @@
 		g_hash_table_replace(c->routes, route_key(e->route.team, e->route.kind), e);
 }
 
-/** Remove what a full update does not name. */
-static void conf_keep_only(struct conf *c, const struct conf_update *u)
+/** Remove the entries that the full update @a u does not contain, and all tombstones. */
+static void conf_remove_unnamed(struct conf *c, const struct conf_update *u)
 {
 	GHashTable *named = g_hash_table_new(g_str_hash, g_str_equal);
 	GList *ids = g_hash_table_get_keys(c->entries);
@@ -199,7 +199,7 @@
 	return g_hash_table_lookup(c->entries, id);
 }
 
-/** Mark the members of all pools that lie in evacuated data centres. */
+/** Set the evacuated flag of all members by the data centres that are being evacuated. */
 static void mark_evacuated(const struct conf *c)
 {
 	GHashTableIter iter;
@@ -218,8 +218,8 @@
 	}
 }
 
-/** Whether @a u is of an older document of the operators, whose versions only go up. */
-static bool is_of_older_document(const struct conf *c, const struct conf_update *u)
+/** Whether @a u comes from an older version of the operators' document than the one in force. */
+static bool has_older_document(const struct conf *c, const struct conf_update *u)
 {
 	guint i;
 
@@ -237,18 +237,18 @@
 	guint i;
 
 	/*
-	 * A VM that wakes from a long pause, or answers late, offers an old version. Taking it
-	 * would bring a withdrawn key back; versions only go up.
+	 * A VM that resumes after a long pause, or answers late, offers an old version. Applying
+	 * it would make a withdrawn key valid again, so versions only increase.
 	 */
 	if (u->version <= c->version)
 		return CONF_OLD;
-	if (is_of_older_document(c, u))
+	if (has_older_document(c, u))
 		return CONF_OLD_DOCUMENT;
 	if (!u->full && u->base > c->version)
 		return CONF_GAP;
 	if (u->full) {
 		g_clear_pointer(&c->sorted, g_ptr_array_unref);
-		conf_keep_only(c, u);
+		conf_remove_unnamed(c, u);
 	}
 	for (i = 0; i < u->entries->len; i++)
 		conf_put(c, g_ptr_array_index(u->entries, i), u->version);
@@ -265,8 +265,8 @@
 	return strcmp((*x)->id, (*y)->id);
 }
 
-/** Of several tombstones of one id only the newest is told. */
-static void keep_newest(GPtrArray *sorted)
+/** Drop all but the newest of several tombstones with the same id. */
+static void keep_newest_tombstones(GPtrArray *sorted)
 {
 	guint i, n = 0;
 
@@ -297,12 +297,12 @@
 	for (l = c->tombstones.head; l != NULL; l = l->next) {
 		const struct conf_entry *e = l->data;
 
-		/* One that was added again is told as it is now. */
+		/* An entry that was added again after its removal is listed itself. */
 		if (!g_hash_table_contains(c->entries, e->id))
 			g_ptr_array_add(c->sorted, l->data);
 	}
 	g_ptr_array_sort(c->sorted, by_id);
-	keep_newest(c->sorted);
+	keep_newest_tombstones(c->sorted);
 	return c->sorted;
 }
 
--- a/decide/conf.h
+++ b/decide/conf.h
@@ -1,8 +1,11 @@
 /**
  * @file conf.h
- * The configuration in force: routes, pools, teams and keys, each entry with the version that last
- * changed it. A version is accepted only when it is higher, so nothing reverts; changes travel as
- * the entries that differ.
+ * The configuration in force: routes, pools, teams, keys, evacuations and the operators' document.
+ * Each entry carries the version that last changed it. Only a higher version is accepted, so that
+ * no entry reverts to an older state. An update contains just the entries that changed, or all.
+ *
+ * A pool is a database group as configured, and a member is a database server of the group. A team
+ * is a set of callers that share a rate limit. A tombstone is the record of a removed entry.
  */
 #ifndef DECIDE_CONF_H
 #define DECIDE_CONF_H
@@ -14,7 +17,7 @@
 
 /** Bytes of a key's hash (BLAKE2b). */
 #define KEY_HASH_SIZE 32
-/** Removed entries remembered, so that a VM that is behind can be told of them. */
+/** Number of tombstones kept, so that an update to a VM with an older version can name them. */
 #define CONF_TOMBSTONES_MAX 1024
 
 enum conf_kind {
@@ -31,15 +34,15 @@
 	char name[NAME_SIZE];
 	char address[ADDRESS_SIZE];
 	char data_center[NAME_SIZE];
-	unsigned slots;	      /**< statements that it runs side by side */
-	unsigned connections; /**< that it accepts */
-	bool leaving;	      /**< by its own entry */
-	bool cold;	      /**< it started lately, and is slow */
-	double cold_per_s;    /**< statements a second that it takes meanwhile; 0: no limit */
-	bool evacuated;	      /**< its data centre is; worked out from the evacuations in force */
+	unsigned slots;	      /**< statements that it runs concurrently */
+	unsigned connections; /**< connections that it accepts */
+	bool leaving;	      /**< marked in the pool's entry as about to be taken out of service */
+	bool cold;	      /**< recently started and still slow */
+	double cold_per_s;    /**< limit of statements per second while cold; 0: no limit */
+	bool evacuated;	      /**< its data centre is being evacuated */
 };
 
-/** Whether the member is to get no more work. */
+/** Whether the member is to get no new work. */
 static inline bool conf_member_leaves(const struct conf_member *m)
 {
 	return m->leaving || m->evacuated;
@@ -59,20 +62,19 @@
 	char kind[NAME_SIZE]; /**< "*" for every kind */
 	char pool[NAME_SIZE];
 	bool write;
-	unsigned max_age_ms; /**< oldest data that a read accepts; 0: the session's and all
-				acknowledged writes */
+	unsigned max_age_ms; /**< maximum staleness of a read; 0: it must see the session's own and
+				all acknowledged writes */
 	unsigned deadline_ms;
-	int mode;	   /**< enum read_mode of src/statement.h */
-	unsigned aim_ms;   /**< how soon its callers want an answer; 0: not said */
-	unsigned priority; /**< 0 goes first */
-	bool anonymous;	   /**< callers need no key */
-	unsigned
-		idle_tx_ms; /**< an open transaction that rests for longer may be ended; 0: never */
+	int mode;		    /**< enum read_mode of src/statement.h */
+	unsigned target_latency_ms; /**< latency that its callers ask for; 0: none stated */
+	unsigned priority;	    /**< 0 is the highest */
+	bool anonymous;		    /**< callers need no key */
+	unsigned idle_tx_ms; /**< idle time after which a transaction may be ended; 0: never */
 };
 
 struct conf_team {
 	char name[NAME_SIZE];
-	double rate; /**< requests a second over the whole fleet */
+	double rate; /**< requests per second over all VMs together */
 	double burst;
 };
 
@@ -83,18 +85,18 @@
 	bool withdrawn;
 };
 
-/** A data centre whose backend servers are to get no more work. */
+/** A data centre whose backend servers are to get no new work. */
 struct conf_evacuation {
 	char data_center[NAME_SIZE];
 };
 
-/** The operators' document that the other entries come from, for a store that keeps one. */
+/** The operators' document, from which the other entries are derived; not every store keeps one. */
 struct conf_document {
 	char name[NAME_SIZE];
-	double version; /**< the operators' own, a whole number */
+	double version; /**< version number set by the operators, a whole number */
 };
 
-/** One entry. Its text is what the platform keeps and what VMs send each other. */
+/** A configuration entry or, if @a removed, a tombstone. Its text is what is stored and sent. */
 struct conf_entry {
 	unsigned refs;
 	char *id; /**< "pool/orders" */
@@ -115,57 +117,60 @@
 struct conf_entry *conf_entry_create(const char *id, uint64_t version, const char *text);
 struct conf_entry *conf_entry_add_ref(struct conf_entry *e);
 void conf_entry_unref(struct conf_entry *e);
-/** The same for GLib's containers. */
+/** conf_entry_unref() with the signature that GLib's containers need. */
 void conf_entry_destroy(gpointer e);
 
 struct conf {
 	uint64_t version;
-	uint64_t oldest;	      /**< changes after this version can be told as a difference */
-	GHashTable *entries;	      /**< id to conf_entry */
-	GHashTable *routes;	      /**< "team kind" to conf_entry */
-	GHashTable *pools;	      /**< name to conf_entry */
+	uint64_t oldest;     /**< changes since this version can be sent as an incremental update */
+	GHashTable *entries; /**< maps id to conf_entry */
+	GHashTable *routes;  /**< maps "team kind" to conf_entry */
+	GHashTable *pools;   /**< maps name to conf_entry */
 	uint64_t changed[CONF_KINDS]; /**< version that last changed an entry of the kind */
-	GQueue tombstones;	      /**< removed conf_entry, oldest first */
-	GPtrArray *sorted;	      /**< see conf_sorted(); NULL until it is asked for */
+	GQueue tombstones;	      /**< tombstones, oldest first */
+	GPtrArray *sorted;	      /**< see conf_sorted(); NULL until it is first needed */
 };
 
 /** A change to a configuration. */
 struct conf_update {
-	uint64_t base; /**< the entries are those changed after this version */
+	uint64_t base; /**< it contains the entries that changed after this version */
 	uint64_t version;
-	bool full;	 /**< the entries are all there are */
-	uint64_t oldest; /**< of a full one: changes after this version can be told; 0: none before
-			    @a version */
+	bool full;	 /**< it contains all entries; others are to be removed */
+	uint64_t oldest; /**< in a full update: changes since this version can be sent on as an
+			    incremental update; 0: only those since @a version */
 	GPtrArray *entries;
 };
 
 enum conf_verdict {
 	CONF_APPLIED,
-	CONF_OLD,	   /**< not newer than what is in force */
-	CONF_OLD_DOCUMENT, /**< of an older document than what is in force */
-	CONF_GAP,	   /**< starts after the version in force: ask for more */
+	CONF_OLD,	   /**< not newer than the version in force */
+	CONF_OLD_DOCUMENT, /**< derived from an older operators' document than the one in force */
+	CONF_GAP,	   /**< its base is above the version in force: a lower base is needed */
 };
 
 struct conf *conf_create(void);
 void conf_free(struct conf *c);
 enum conf_verdict conf_apply(struct conf *c, const struct conf_update *u);
 void conf_update_clear(struct conf_update *u);
-/** All entries and tombstones by id; owned by @a c. */
+/** @return all entries and tombstones, sorted by id; owned by @a c */
 const GPtrArray *conf_sorted(struct conf *c);
-/** Index of the first of @a sorted whose id is not below @a id. */
+/** @return the index of the first entry of @a sorted whose id is not below @a id */
 guint conf_sorted_find(const GPtrArray *sorted, const char *id);
 
 const struct conf_pool *conf_pool(const struct conf *c, const char *name);
-/** Index of a member of @a pool, which may be NULL; -1 when it has none of that name. */
+/** @return the index of the member in @a pool, or -1 if there is none or @a pool is NULL */
 int conf_pool_find(const struct conf_pool *pool, const char *member);
-/** Name of the only CONF_DOCUMENT. */
+/** Name of the only entry of kind CONF_DOCUMENT. */
 #define CONF_DOCUMENT_NAME "operators"
-/** Version of the operators' document in force; 0 for none. */
+/** @return the version of the operators' document in force, or 0 */
 double conf_document_version(const struct conf *c);
 bool conf_evacuated(const struct conf *c, const char *data_center);
 const struct conf_team *conf_team(const struct conf *c, const char *name);
 const struct conf_key *conf_key(const struct conf *c, const char *id);
-/** The most exact route for @a team and @a kind, or NULL. A named team goes before a named kind. */
+/**
+ * @return the most specific route for @a team and @a kind, or NULL. A route that names the team is
+ * preferred to one that names only the kind.
+ */
 const struct conf_route *conf_route(const struct conf *c, const char *team, const char *kind);
 
 #endif
--- a/decide/keep.c
+++ b/decide/keep.c
@@ -1,36 +1,40 @@
-/** @file keep.c How many unused connections to a member a VM keeps. */
+/** @file keep.c Limit of idle connections that a VM keeps to a member. */
 #include "keep.h"
 
 #include "place.h"
 
 #include <stdlib.h>
 
-/** Length of a window of struct keep_use. */
-#define KEEP_WINDOW_US (5 * USEC_PER_SEC)
-/** A VM that loses its power and its successor each need their own. */
-#define KEEP_GENERATIONS 2
+/** Length of a window over which struct keep_usage records the peak. */
+#define PEAK_WINDOW_US (5 * USEC_PER_SEC)
+/**
+ * Sets of connections that are left unused by the limit: after a power loss, the member counts the
+ * connections of the lost VM until it drops them, and the VM that takes over needs as many.
+ */
+#define RESERVED_GENERATIONS 2
 
-void keep_note(struct keep_use *u, unsigned used, int64_t now_us)
+void keep_record_use(struct keep_usage *u, unsigned used, int64_t now_us)
 {
-	if (now_us - u->since_us >= KEEP_WINDOW_US) {
-		u->before = now_us - u->since_us < 2 * KEEP_WINDOW_US ? u->now : 0;
-		u->now = 0;
-		u->since_us = now_us;
+	if (now_us - u->window_start_us >= PEAK_WINDOW_US) {
+		u->previous_peak =
+			now_us - u->window_start_us < 2 * PEAK_WINDOW_US ? u->window_peak : 0;
+		u->window_peak = 0;
+		u->window_start_us = now_us;
 	}
-	if (used > u->now)
-		u->now = used;
+	if (used > u->window_peak)
+		u->window_peak = used;
 }
 
-unsigned keep_most(const struct keep_use *u)
+unsigned keep_peak_use(const struct keep_usage *u)
 {
-	return u->now > u->before ? u->now : u->before;
+	return u->window_peak > u->previous_peak ? u->window_peak : u->previous_peak;
 }
 
-unsigned keep_unused(const struct keep_member *m)
+unsigned keep_idle_limit(const struct keep_member *m)
 {
 	unsigned part = m->users > 0 ? m->connections / m->users : m->connections;
-	unsigned usual = m->slots + PLACE_AHEAD;
-	unsigned needed = KEEP_GENERATIONS * (m->most > usual ? m->most : usual);
+	unsigned usual = m->slots + PLACE_PIPELINE_DEPTH;
+	unsigned needed = RESERVED_GENERATIONS * (m->most > usual ? m->most : usual);
 
 	return part > needed ? part - needed : 0;
 }
--- a/decide/keep.h
+++ b/decide/keep.h
@@ -1,39 +1,41 @@
 /**
  * @file keep.h
- * How many unused connections to a member a VM keeps. A connection is one team's, and opening one
- * takes a slot of the member for as long as a statement does. One that is kept is missing to the
- * successor of a VM that loses its power, until the member drops the silent one. Answers two loads:
- * few teams on a few connections, where all that are kept are missed, and many teams that take
- * turns, where each statement would otherwise open its own.
+ * Limit of idle connections that a VM keeps to a member (a database server of a group). Each
+ * connection belongs to one team, and opening one occupies a slot of the member for as long as a
+ * statement does. An idle connection of a VM that lost power is not available to the VM that takes
+ * over until the member drops it. The limit has to suit two loads: few teams on a member that
+ * accepts few connections, where each idle connection is one too few for others, and many teams
+ * that take turns, where without idle connections nearly every statement opens a new one.
  */
 #ifndef DECIDE_KEEP_H
 #define DECIDE_KEEP_H
 
 #include "types.h"
 
-/** Connections that were in use at a time, lately. */
-struct keep_use {
-	unsigned now;	 /**< most in the present window */
-	unsigned before; /**< most in the one before */
-	int64_t since_us;
+/** Peak number of connections in use at the same time, over the last two windows. */
+struct keep_usage {
+	unsigned window_peak;	/**< peak of the current window */
+	unsigned previous_peak; /**< peak of the previous window; 0: nothing recorded */
+	int64_t window_start_us;
 };
 
-/** What is known of a member and of those that connect to it. */
+/** Limits of a member and their use by this VM. */
 struct keep_member {
-	unsigned connections; /**< that it accepts from all callers, without those for looks */
+	unsigned connections; /**< accepted from all VMs, less those that health checks use */
 	unsigned slots;
-	unsigned users; /**< VMs that usually connect to it */
-	unsigned most;	/**< connections that this VM had in use at a time, see keep_most() */
+	unsigned users; /**< number of VMs that usually connect to the member */
+	unsigned most;	/**< peak number of connections in use by this VM, see keep_peak_use() */
 };
 
-/** Note that @a used connections are in use. */
-void keep_note(struct keep_use *u, unsigned used, int64_t now_us);
-/** Most connections in use at a time, in the present window and the one before. */
-unsigned keep_most(const struct keep_use *u);
+/** Record that @a used connections are in use. */
+void keep_record_use(struct keep_usage *u, unsigned used, int64_t now_us);
+/** @return the peak number of connections in use in the current and the previous window */
+unsigned keep_peak_use(const struct keep_usage *u);
 /**
- * Unused connections that may be kept: this VM's part of what the member accepts, without what its
- * statements use and what those of its successor will.
+ * Idle connections that may be kept: this VM's part of the connections that the member accepts,
+ * less those that its own statements need and those that the statements of a VM that takes over
+ * from it would need.
  */
-unsigned keep_unused(const struct keep_member *m);
+unsigned keep_idle_limit(const struct keep_member *m);
 
 #endif
--- a/decide/page.c
+++ b/decide/page.c
@@ -1,15 +1,15 @@
-/** @file page.c A configuration in pages. */
+/** @file page.c Sending and fetching a configuration in pages. */
 #include "page.h"
 
 #include <string.h>
 
-/** A peer that has not asked for the next page by then has gone, or asks another VM. */
+/** A peer that does not request the next page within this time is gone or asks another VM. */
 #define PEER_IDLE_US (500 * USEC_PER_MSEC)
 
-/* Cutting */
+/* Building a page */
 
-/** Index of the first entry whose id follows @a after. */
-static guint follows(const GPtrArray *sorted, const char *after)
+/** @return the index of the first entry whose id is above @a after */
+static guint index_after(const GPtrArray *sorted, const char *after)
 {
 	guint i = conf_sorted_find(sorted, after);
 	const struct conf_entry *e = i < sorted->len ? g_ptr_array_index(sorted, i) : NULL;
@@ -17,12 +17,12 @@
 	return e != NULL && strcmp(e->id, after) == 0 ? i + 1 : i;
 }
 
-static bool is_lacking(const struct conf_update *u, const struct conf_entry *e)
+static bool is_missing(const struct conf_update *u, const struct conf_entry *e)
 {
 	return u->full ? !e->removed : e->version > u->base;
 }
 
-void page_cut(struct conf *c, uint64_t base, const char *after, size_t bytes, struct page *p)
+void page_build(struct conf *c, uint64_t base, const char *after, size_t bytes, struct page *p)
 {
 	const GPtrArray *sorted = conf_sorted(c);
 	size_t size = 0;
@@ -33,10 +33,10 @@
 	p->u.version = c->version;
 	p->u.entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
 	p->more = false;
-	for (i = follows(sorted, after); i < sorted->len; i++) {
+	for (i = index_after(sorted, after); i < sorted->len; i++) {
 		struct conf_entry *e = g_ptr_array_index(sorted, i);
 
-		if (!is_lacking(&p->u, e))
+		if (!is_missing(&p->u, e))
 			continue;
 		if (size >= bytes) {
 			p->more = true;
@@ -47,13 +47,13 @@
 	}
 }
 
-/* Putting together */
+/* Assembling the pages */
 
 static void round_begin(struct page_fetch *f, uint64_t base)
 {
 	f->base = base;
-	f->first = 0;
-	f->mixed = false;
+	f->first_version = 0;
+	f->versions_differ = false;
 	g_free(f->after);
 	f->after = g_strdup("");
 }
@@ -69,7 +69,7 @@
 	round_begin(f, base);
 }
 
-static void entry_take(struct page_fetch *f, struct conf_entry *e)
+static void fetch_add_entry(struct page_fetch *f, struct conf_entry *e)
 {
 	const struct conf_entry *known = g_hash_table_lookup(f->entries, e->id);
 
@@ -77,47 +77,50 @@
 		g_hash_table_replace(f->entries, e->id, conf_entry_add_ref(e));
 }
 
-static void first_page(struct page_fetch *f, const struct page *p)
+static void round_set_first_page(struct page_fetch *f, const struct page *p)
 {
-	f->first = p->u.version;
+	f->first_version = p->u.version;
 	f->round_full = p->u.full;
 	if (!p->u.full)
 		return;
-	/* What came before may name entries that are gone by now. */
+	/* Pages of earlier rounds may contain entries that have been removed since. */
 	g_hash_table_remove_all(f->entries);
 	f->full = true;
 }
 
-enum page_verdict page_fetch_take(struct page_fetch *f, const struct page *p)
+enum page_verdict page_fetch_add(struct page_fetch *f, const struct page *p)
 {
 	const struct conf_entry *last = NULL;
 	guint i;
 
-	if (p->u.version < f->first || p->u.version < f->base)
-		return PAGE_OLD;
-	/* Some senders remember removals for less long: pages of all and of changes don't mix. */
-	if (f->first != 0 && p->u.full != f->round_full) {
+	if (p->u.version < f->first_version || p->u.version < f->base)
+		return PAGE_STALE;
+	/*
+	 * Senders keep tombstones for different lengths of time, so that one sends all entries
+	 * where another sends just the changes. The two can't be combined: start again.
+	 */
+	if (f->first_version != 0 && p->u.full != f->round_full) {
 		uint64_t base = f->applies_to;
 
 		page_fetch_clear(f);
 		page_fetch_begin(f, base);
 		return PAGE_NEXT;
 	}
-	if (f->first == 0)
-		first_page(f, p);
-	f->mixed = f->mixed || p->u.version != f->first;
+	if (f->first_version == 0)
+		round_set_first_page(f, p);
+	f->versions_differ = f->versions_differ || p->u.version != f->first_version;
 	for (i = 0; i < p->u.entries->len; i++) {
 		last = g_ptr_array_index(p->u.entries, i);
-		entry_take(f, g_ptr_array_index(p->u.entries, i));
+		fetch_add_entry(f, g_ptr_array_index(p->u.entries, i));
 	}
 	if (p->more && last != NULL) {
 		g_free(f->after);
 		f->after = g_strdup(last->id);
 		return PAGE_NEXT;
 	}
-	if (!f->mixed)
-		return PAGE_WHOLE;
-	round_begin(f, f->first);
+	if (!f->versions_differ)
+		return PAGE_COMPLETE;
+	round_begin(f, f->first_version);
 	return PAGE_NEXT;
 }
 
@@ -128,7 +131,7 @@
 
 	u->base = f->applies_to;
 	u->full = f->full;
-	u->version = f->first;
+	u->version = f->first_version;
 	u->entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
 	g_hash_table_iter_init(&iter, f->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
@@ -144,7 +147,7 @@
 	memset(f, 0, sizeof(*f));
 }
 
-/* Whom to send to */
+/* Limiting the number of receivers */
 
 bool page_peer_admit(struct page_peers *p, uint64_t conn, int64_t now_us)
 {
--- a/decide/part.c
+++ b/decide/part.c
@@ -1,37 +1,37 @@
-/** @file part.c Fixed parts of teams' rates. */
+/** @file part.c Fixed parts of a team's rate, and choice of the VM to ask for tokens. */
 #include "part.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/** Part of the burst that is handed out at once, as in share_split(). */
+/** Fraction of the burst that all parts hold together, as in share_split(). */
 #define PART_BURST 0.5
-/** Fewest tokens that a part's bucket holds: with less it would admit nobody. */
+/** Minimum burst of a part: with less than one token it would admit no request. */
 #define PART_BURST_MIN 1.0
-/** Tokens that a part should hold before the team gets a further one in each data centre. */
-#define PART_BURST_GOOD 2.0
+/** Burst that each part should have before a team is given a further part in each data centre. */
+#define PART_BURST_TARGET 2.0
 /**
- * Parts of each data centre that a team should have, so that one VM that leaves does not take all
- * of a cut-off data centre's tokens along, if what is handed out is still this multiple of the
- * rate.
+ * Parts that a team should have in each data centre, so that a partitioned data centre does not
+ * lose all of its tokens with one VM.
  */
-#define PARTS_GOOD 2
-#define PARTS_RATE_GOOD 1.2
-/** How often a place of another data centre is asked in vain for a team that is over its rate. */
-#define FAR_PAUSE_US (300 * USEC_PER_MSEC)
-/** Tokens a second that one part may have to hand out, each in a call of its own. */
-#define PART_CALLS_MAX 1000.0
+#define PARTS_PER_DC_PREFERRED 2
+/** PARTS_PER_DC_PREFERRED applies if the parts' total still is this multiple of the rate. */
+#define PARTS_RATE_MULTIPLE_MIN 1.2
+/** Interval of requests to other data centres for a team that is over its rate. */
+#define REMOTE_RETRY_INTERVAL_US (300 * USEC_PER_MSEC)
+/** Tokens per second that the holder of a part can serve, each with an RPC of its own. */
+#define PART_CALLS_MAX_PER_S 1000.0
 
-/** Divide into @a per_dc parts of each data centre. @return what is handed out, by the rate */
+/** Divide into @a per_dc parts per data centre. @return the total, as a multiple of @a rate */
 static double divide(double rate, double burst, unsigned data_centers, unsigned per_dc,
 		     const struct share_tolerance *t, struct part_split *out)
 {
 	unsigned n = per_dc * data_centers;
-	double held = burst * PART_BURST;
+	double handed_out = burst * PART_BURST;
 	double m;
 
 	out->per_dc = per_dc;
-	out->burst = held / n > PART_BURST_MIN ? held / n : PART_BURST_MIN;
+	out->burst = handed_out / n > PART_BURST_MIN ? handed_out / n : PART_BURST_MIN;
 	m = (share_tolerated(rate, burst, t) - out->burst * n) / (rate * t->window_s);
 	if (m > SHARE_RATE_MAX)
 		m = SHARE_RATE_MAX;
@@ -43,20 +43,24 @@
 		const struct share_tolerance *t, struct part_split *out)
 {
 	unsigned data_centers = f->data_centers;
-	double held = burst * PART_BURST;
+	double handed_out = burst * PART_BURST;
 	unsigned n;
 
 	if (t->window_s <= 0 || rate <= 0 || data_centers == 0)
 		return false;
-	/* More operations than the holders of parts can answer for: better a part on each VM. */
-	if (f->all_rates > PART_CALLS_MAX * PARTS_PER_DC * data_centers &&
+	/*
+	 * The holders of parts can't serve that many operations: give each VM a part of its own, if
+	 * the rate is high enough for that.
+	 */
+	if (f->all_rates > PART_CALLS_MAX_PER_S * PARTS_PER_DC * data_centers &&
 	    share_split(rate, burst, f->vms, t).own_rate > 0)
 		return false;
-	n = (unsigned)(held / PART_BURST_GOOD / data_centers);
+	n = (unsigned)(handed_out / PART_BURST_TARGET / data_centers);
 	n = n > PARTS_PER_DC ? PARTS_PER_DC : n;
-	if (n < PARTS_GOOD)
-		n = divide(rate, burst, data_centers, PARTS_GOOD, t, out) >= PARTS_RATE_GOOD
-			    ? PARTS_GOOD
+	if (n < PARTS_PER_DC_PREFERRED)
+		n = divide(rate, burst, data_centers, PARTS_PER_DC_PREFERRED, t, out) >=
+				    PARTS_RATE_MULTIPLE_MIN
+			    ? PARTS_PER_DC_PREFERRED
 			    : 1;
 	return divide(rate, burst, data_centers, n, t, out) > 0;
 }
@@ -68,14 +72,14 @@
 	return (index + PARTS_PER_DC - first) % PARTS_PER_DC < s->per_dc;
 }
 
-bool part_ask_far(bool hopeful, int64_t tried_us, int64_t now_us)
+bool part_may_ask_remote(bool mostly_granted, int64_t tried_us, int64_t now_us)
 {
-	return hopeful || now_us - tried_us >= FAR_PAUSE_US;
+	return mostly_granted || now_us - tried_us >= REMOTE_RETRY_INTERVAL_US;
 }
 
-int part_choose(const struct part_place *p, unsigned n, unsigned salt, bool far_too)
+int part_choose(const struct part_candidate *p, unsigned n, unsigned salt, bool allow_remote)
 {
-	int far = -1;
+	int remote = -1;
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
@@ -85,8 +89,8 @@
 			continue;
 		if (p[at].near)
 			return (int)at;
-		if (far < 0 && far_too)
-			far = (int)at;
+		if (remote < 0 && allow_remote)
+			remote = (int)at;
 	}
-	return far;
+	return remote;
 }
--- a/decide/part.h
+++ b/decide/part.h
@@ -1,72 +1,72 @@
 /**
  * @file part.h
- * Fixed parts of a team's rate.
+ * Fixed parts of a team's rate and burst. A team is a set of callers that share a rate limit.
  *
- * Each data centre has PARTS_PER_DC parts, each held by one of its VMs at a time. A team has the
- * same tokens in some parts of every data centre; a VM that holds none of them asks one that does.
- * Nothing moves between parts, so no VM has to be heard before a token is given: while a data
- * centre is cut off, or the VM that allocated moved parts (share.h) is lost, both sides go on with
- * the parts that they reach. The load it answers: a team's callers are a few, so its demand stands
- * on few VMs and jumps between them; parts that move follow it late and cost reports from every VM.
- * Source: docs/DESIGN.md, "Fixed parts of rates".
+ * Each data centre has PARTS_PER_DC parts, each held by one of its VMs at a time. A team has equal
+ * token buckets in some parts of every data centre; a VM that holds none of them requests tokens
+ * from one that does. Tokens never move between parts, so a token can be granted without contact to
+ * any other VM: during a network partition, or after the loss of a share allocator (share.h), each
+ * side continues with the parts that it can reach. This suits teams with few callers, whose demand
+ * is concentrated on few VMs and jumps between them. Dynamic shares (share.h) follow such demand
+ * too late, and need reports from every VM. Source: docs/DESIGN.md, "Fixed parts of rates".
  */
 #ifndef DECIDE_PART_H
 #define DECIDE_PART_H
 
 #include "share.h"
 
-/** Parts of a data centre: four VMs of it answer for all teams. */
+/** Parts per data centre: four of its VMs serve the tokens of all teams. */
 #define PARTS_PER_DC 4
 
-/** What a team has in its parts. */
+/** A team's rate and burst, divided into parts. */
 struct part_split {
-	unsigned per_dc; /**< parts of each data centre that it has tokens in */
+	unsigned per_dc; /**< number of parts with tokens in each data centre */
 	double rate;	 /**< of each part */
 	double burst;	 /**< of each part */
 };
 
-/** The fleet whose VMs ask for tokens. */
+/** Size and load of the fleet whose VMs request tokens. */
 struct part_fleet {
-	unsigned data_centers; /**< with a listed VM */
+	unsigned data_centers; /**< data centres with at least one VM on the platform's list */
 	unsigned vms;
-	double all_rates; /**< operations a second of all teams together, at most */
+	double all_rates; /**< sum of the rates of all teams, operations per second */
 };
 
 /**
- * Divide @a rate and @a burst into fixed parts that together stay within what the users tolerate.
- * How many VMs there are does not decide: parts that move are counted over all VMs, which costs a
- * large fleet more than single tokens do.
- * @return false when the team is to have its rate moved between VMs instead: there is no tolerance
- * to divide, no data centre is known, or the holders of parts cannot answer for all operations, and
+ * Divide @a rate and @a burst into fixed parts whose sum stays within the tolerance @a t. The
+ * number of VMs is no criterion by itself: dynamic shares need reports from all VMs, which costs a
+ * large fleet more than single token requests do.
+ * @return false when the team's rate is to be divided by dynamic shares (share.h) instead: there is
+ * no tolerance, no data centre is known, or the holders of parts cannot serve all operations and
  * each VM can have a part of its own
  */
 bool part_split(double rate, double burst, const struct part_fleet *f,
 		const struct share_tolerance *t, struct part_split *out);
-/** Whether @a team has tokens in the part @a index of each data centre. */
+/** @return whether @a team has tokens in part @a index of each data centre */
 bool part_has_team(const struct part_split *s, const char *team, unsigned index);
 
-/** A VM that may be asked for tokens. */
-struct part_place {
-	const char *address; /**< NULL: not known, or not to be used */
-	bool near;	     /**< in the data centre of the asking VM */
-	bool tried;	     /**< it had too few tokens in this round */
+/** A holder of a part, as a candidate for a token request. */
+struct part_candidate {
+	const char *address; /**< NULL: unknown, or not to be used */
+	bool near;	     /**< in the data centre of the requesting VM */
+	bool tried;	     /**< did not have enough tokens in this round of requests */
 };
 
 /**
- * The place to ask next: near ones first, and among equals another one for each @a salt, so that
- * the VMs of a data centre do not all ask the same.
- * @param far_too whether places of other data centres may be asked too
+ * Choose the candidate to ask next, those of the own data centre first. The order also depends on
+ * @a salt, so that the VMs of a data centre do not all ask the same one.
+ * @param allow_remote whether candidates in other data centres may be chosen
  * @return its index, or -1 when none is left
  */
-int part_choose(const struct part_place *p, unsigned n, unsigned salt, bool far_too);
+int part_choose(const struct part_candidate *p, unsigned n, unsigned salt, bool allow_remote);
 /**
- * Whether places of other data centres may be asked. A team that asks for more than its rate finds
- * them as empty as the near ones, and its VMs would fill the links between data centres with
- * questions that nobody has a token for. One place is still asked now and then, or a team whose
- * callers have moved here would never find the tokens that are free elsewhere.
- * @param hopeful most of what was asked for came, lately
- * @param tried_us when one that had too few was last asked
+ * Whether candidates in other data centres may be asked for tokens. When a team is over its rate,
+ * their parts are as empty as the local ones, and the requests would only load the links between
+ * data centres. One candidate is still asked from time to time: otherwise a team whose callers have
+ * moved to this data centre would never get the tokens that are unused in others.
+ * @param mostly_granted most recent token requests of the team were granted
+ * @param tried_us time of the last remote request that was not granted
  */
-bool part_ask_far(bool hopeful, int64_t tried_us, int64_t now_us);
+bool part_may_ask_remote(bool mostly_granted, int64_t tried_us, int64_t now_us);
 
 #endif
--- a/decide/peers.c
+++ b/decide/peers.c
@@ -1,4 +1,4 @@
-/** @file peers.c Membership between the daemons. */
+/** @file peers.c Membership of the fleet: which VMs exist and which are alive. */
 #include "peers.h"
 
 #include <stdio.h>
@@ -6,10 +6,10 @@
 #include <string.h>
 
 /**
- * Heartbeats that carry one piece of news: enough to reach a fleet of thousands several times
- * over.
+ * Heartbeats of a VM that carry the same update. Each receiver passes it on as often, which covers
+ * a fleet of thousands of VMs several times over.
  */
-#define NEWS_SPREAD 12
+#define UPDATE_HEARTBEATS 12
 
 static struct vm *peers_add(struct peers *p, const char *name)
 {
@@ -62,35 +62,36 @@
 	return g_hash_table_lookup(p->by_name, name);
 }
 
-/** Another process than the one that was known: what was said of that one is void. */
-static void vm_restarted(struct vm *vm, uint64_t incarnation)
+/** Reset the state of a VM whose process was replaced by the one with @a incarnation. */
+static void vm_reset_state(struct vm *vm, uint64_t incarnation)
 {
 	vm->incarnation = incarnation;
-	vm->news_seq = 0;
+	vm->update_seq = 0;
 	vm->misses = 0;
 	vm->leaving = false;
 	vm->left = false;
 	vm->dead = false;
 	vm->suspect = false;
-	vm->spread = 0;
+	vm->heartbeats_left = 0;
 }
 
 /**
- * The platform's list names the process. Known from direct heartbeats alone, a restarted VM was
- * leaving for most of a large fleet until it had beaten to each: they disagreed on who hands out
- * teams' rates, and nobody could. A process that the list named before changes nothing, since the
- * list lags behind heartbeats.
+ * Take over the VM's incarnation from the platform's list. If restarts were learnt from direct
+ * heartbeats alone, most VMs of a large fleet would regard a restarted VM as leaving until it had
+ * sent a heartbeat to each of them; meanwhile they disagree on the VM that allocates a team's rate,
+ * and none can allocate it. An incarnation that the list had already is ignored, since the list
+ * lags behind heartbeats.
  */
-static void vm_listed(struct vm *vm, uint64_t incarnation)
+static void vm_set_listed_incarnation(struct vm *vm, uint64_t incarnation)
 {
 	if (incarnation == 0 || incarnation == vm->listed_incarnation)
 		return;
 	vm->listed_incarnation = incarnation;
 	if (incarnation != vm->incarnation)
-		vm_restarted(vm, incarnation);
+		vm_reset_state(vm, incarnation);
 }
 
-bool peers_list(struct peers *p, uint64_t revision, const struct vm_listing *l, unsigned n)
+bool peers_apply_list(struct peers *p, uint64_t revision, const struct vm_listing *l, unsigned n)
 {
 	struct vm *vm, *next;
 	unsigned i;
@@ -109,7 +110,7 @@
 			continue;
 		snprintf(vm->address, sizeof(vm->address), "%s", l[i].address);
 		snprintf(vm->data_center, sizeof(vm->data_center), "%s", l[i].data_center);
-		vm_listed(vm, l[i].incarnation);
+		vm_set_listed_incarnation(vm, l[i].incarnation);
 		vm->leaving = vm->leaving || l[i].leaving;
 	}
 	TAILQ_FOREACH_SAFE(vm, &p->vms, link, next) {
@@ -151,8 +152,8 @@
 
 	for (vm = vm_next(p, p->self); vm != p->self && n < PEERS_NEIGHBOURS; vm = vm_next(p, vm)) {
 		/*
-		 * The dead ones are left to the random choice, so that a ring of dead VMs can't
-		 * hide the live ones.
+		 * Dead VMs are contacted by the random choice alone: dead neighbours in the ring
+		 * would otherwise use up the heartbeats meant for live ones.
 		 */
 		if (vm->dead || strcmp(vm->data_center, p->self->data_center) != 0)
 			continue;
@@ -171,18 +172,18 @@
 	return add_target(out, n, vm);
 }
 
-static void vm_changed(struct vm *vm)
+static void vm_publish_state(struct vm *vm)
 {
-	vm->news_seq++;
-	vm->spread = NEWS_SPREAD;
+	vm->update_seq++;
+	vm->heartbeats_left = UPDATE_HEARTBEATS;
 }
 
-void peers_heard(struct vm *vm, uint64_t incarnation, uint64_t conf_version)
+void peers_record_contact(struct vm *vm, uint64_t incarnation, uint64_t conf_version)
 {
 	if (incarnation != vm->incarnation) {
-		vm_restarted(vm, incarnation);
+		vm_reset_state(vm, incarnation);
 		vm->conf_version = conf_version;
-		vm->spread = NEWS_SPREAD;
+		vm->heartbeats_left = UPDATE_HEARTBEATS;
 		return;
 	}
 	vm->misses = 0;
@@ -191,17 +192,17 @@
 		vm->conf_version = conf_version;
 	if (vm->dead) {
 		vm->dead = false;
-		vm_changed(vm);
+		vm_publish_state(vm);
 	}
 }
 
-bool peers_missed(struct peers *p, struct vm *vm)
+bool peers_record_miss(struct peers *p, struct vm *vm)
 {
 	vm->misses++;
 	if (vm->dead || vm->misses < PEERS_MISSES_MAX)
 		return false;
 	vm->dead = true;
-	vm_changed(vm);
+	vm_publish_state(vm);
 	return true;
 }
 
@@ -215,62 +216,62 @@
 {
 	p->self->leaving = true;
 	p->self->left = true;
-	vm_changed(p->self);
+	vm_publish_state(p->self);
 }
 
-void peers_learn(struct peers *p, const struct vm_news *news)
+void peers_apply_update(struct peers *p, const struct vm_update *update)
 {
-	struct vm *vm = peers_find(p, news->vm);
+	struct vm *vm = peers_find(p, update->vm);
 
 	if (vm == NULL)
 		return;
 	if (vm == p->self) {
 		/*
-		 * Others think that this VM is dead, or know less than it does: newer news goes
-		 * out.
+		 * Others regard this VM as dead, or have an outdated leaving state: send an update
+		 * with a higher sequence number.
 		 */
-		if (news->incarnation == vm->incarnation && news->seq >= vm->news_seq &&
-		    (news->dead || news->leaving != vm->left)) {
-			vm->news_seq = news->seq;
-			vm_changed(vm);
+		if (update->incarnation == vm->incarnation && update->seq >= vm->update_seq &&
+		    (update->dead || update->leaving != vm->left)) {
+			vm->update_seq = update->seq;
+			vm_publish_state(vm);
 		}
 		return;
 	}
-	if (news->incarnation == vm->incarnation && news->seq <= vm->news_seq)
+	if (update->incarnation == vm->incarnation && update->seq <= vm->update_seq)
 		return;
 	/*
-	 * Incarnations are random and have no order; only the VM itself, when it is heard, changes
-	 * a known one.
+	 * Incarnations are random and have no order, so a relayed update can't replace a known
+	 * one: only direct contact with the VM and the platform's list can.
 	 */
-	if (vm->incarnation != 0 && news->incarnation != vm->incarnation)
+	if (vm->incarnation != 0 && update->incarnation != vm->incarnation)
 		return;
-	vm->incarnation = news->incarnation;
-	vm->news_seq = news->seq;
-	vm->dead = news->dead;
-	vm->leaving = news->leaving;
-	vm->left = news->leaving;
-	vm->spread = NEWS_SPREAD;
+	vm->incarnation = update->incarnation;
+	vm->update_seq = update->seq;
+	vm->dead = update->dead;
+	vm->leaving = update->leaving;
+	vm->left = update->leaving;
+	vm->heartbeats_left = UPDATE_HEARTBEATS;
 	if (!vm->dead)
 		vm->misses = 0;
 }
 
-unsigned peers_news(struct peers *p, struct vm_news out[PEERS_NEWS_MAX])
+unsigned peers_collect_updates(struct peers *p, struct vm_update out[PEERS_UPDATES_MAX])
 {
 	struct vm *vm;
 	unsigned n = 0;
 
 	TAILQ_FOREACH(vm, &p->vms, link) {
-		struct vm_news *news = &out[n];
+		struct vm_update *update = &out[n];
 
-		if (vm->spread == 0)
+		if (vm->heartbeats_left == 0)
 			continue;
-		vm->spread--;
-		snprintf(news->vm, sizeof(news->vm), "%s", vm->name);
-		news->incarnation = vm->incarnation;
-		news->seq = vm->news_seq;
-		news->dead = vm->dead;
-		news->leaving = vm->left;
-		if (++n == PEERS_NEWS_MAX)
+		vm->heartbeats_left--;
+		snprintf(update->vm, sizeof(update->vm), "%s", vm->name);
+		update->incarnation = vm->incarnation;
+		update->seq = vm->update_seq;
+		update->dead = vm->dead;
+		update->leaving = vm->left;
+		if (++n == PEERS_UPDATES_MAX)
 			break;
 	}
 	return n;
@@ -286,23 +287,23 @@
 	struct vm *best = NULL;
 	struct vm *vm;
 	uint64_t best_weight = 0;
-	bool best_near = false;
+	bool best_is_local = false;
 
 	TAILQ_FOREACH(vm, &p->vms, link) {
 		uint64_t weight;
-		bool near;
+		bool is_local;
 
 		if (!peers_usable(vm))
 			continue;
-		near = data_center != NULL && strcmp(vm->data_center, data_center) == 0;
-		if (best_near && !near)
+		is_local = data_center != NULL && strcmp(vm->data_center, data_center) == 0;
+		if (best_is_local && !is_local)
 			continue;
 		weight = rank_weight(key, vm->name);
-		if (best != NULL && !rank_better(weight, near, best_weight, best_near))
+		if (best != NULL && !rank_better(weight, is_local, best_weight, best_is_local))
 			continue;
 		best = vm;
 		best_weight = weight;
-		best_near = near;
+		best_is_local = is_local;
 	}
 	return best;
 }
@@ -321,10 +322,10 @@
 	return best;
 }
 
-unsigned peers_place(const struct peers *p, const char *key)
+unsigned peers_own_rank(const struct peers *p, const char *key)
 {
 	uint64_t own = rank_weight(key, p->self->name);
-	unsigned place = 0;
+	unsigned rank = 0;
 	struct vm *vm;
 
 	TAILQ_FOREACH(vm, &p->vms, link) {
@@ -333,7 +334,7 @@
 		if (strcmp(vm->data_center, p->self->data_center) != 0)
 			continue;
 		if (rank_weight(key, vm->name) > own)
-			place++;
+			rank++;
 	}
-	return place;
+	return rank;
 }
--- a/decide/peers.h
+++ b/decide/peers.h
@@ -1,8 +1,9 @@
 /**
  * @file peers.h
- * Which VMs exist and which answer now. The platform's list says who may exist; heartbeats to a
- * fixed number of VMs say who answers; news of deaths and returns spreads with the heartbeats. Cost
- * per VM does not grow with the fleet.
+ * Membership of the fleet: which VMs exist and which are alive. The platform's list defines the VMs
+ * of the fleet; a VM sends heartbeats to a fixed number of others to find out which are alive, and
+ * heartbeats also carry updates about failed, returned and leaving VMs (gossip). The cost per VM
+ * does not grow with the fleet.
  */
 #ifndef DECIDE_PEERS_H
 #define DECIDE_PEERS_H
@@ -12,40 +13,40 @@
 
 #include <glib.h>
 
-/** Neighbours in the ring of the own data centre that a VM sends heartbeats to. */
+/** Neighbours that a VM sends heartbeats to, in the ring of the VMs of its own data centre. */
 #define PEERS_NEIGHBOURS 2
-/** Suspects that one round of heartbeats also asks. */
+/** Suspected VMs that are also sent a heartbeat in each round. */
 #define PEERS_SUSPECTS 2
-/** Most heartbeats of one round. */
+/** Maximum number of heartbeats in one round. */
 #define PEERS_TARGETS_MAX (PEERS_NEIGHBOURS + PEERS_SUSPECTS + 1)
-/** Heartbeats in a row without an answer that make a VM dead. */
+/** Consecutive unanswered heartbeats after which a VM counts as dead. */
 #define PEERS_MISSES_MAX 3
-/** News carried by one heartbeat, at most. */
-#define PEERS_NEWS_MAX 16
+/** Maximum number of updates in one heartbeat. */
+#define PEERS_UPDATES_MAX 16
 
 struct vm {
 	TAILQ_ENTRY(vm) link;
 	char name[NAME_SIZE];
 	char address[ADDRESS_SIZE]; /**< of its RPC port */
 	char data_center[NAME_SIZE];
-	bool listed;
-	bool leaving;
-	bool left; /**< it said itself that it leaves, after it had given up what it held */
+	bool listed;  /**< on the platform's list */
+	bool leaving; /**< about to leave, by itself or by the platform's list */
+	bool left;    /**< it has announced that it leaves, after it gave up all that it held */
 	bool dead;
-	uint64_t incarnation;	     /**< of its process; 0 when not known */
-	uint64_t listed_incarnation; /**< the same as the platform's list has it; 0: it does not */
-	uint64_t news_seq; /**< version of @a dead and @a leaving within the incarnation */
-	unsigned misses;
-	unsigned spread; /**< heartbeats that still carry the news of this VM */
-	bool suspect; /**< a call to it failed; not used again before it is heard. Known to this VM
-			 alone */
-	uint64_t conf_version; /**< last version that it reported */
-	bool ranked_usable;    /**< as roles were last ranked */
+	uint64_t incarnation;	     /**< random identifier of its process; 0: not known */
+	uint64_t listed_incarnation; /**< incarnation in the platform's list; 0: none */
+	uint64_t update_seq;	     /**< version of @a dead and @a leaving in this incarnation */
+	unsigned misses;	     /**< consecutive heartbeats without an answer */
+	unsigned heartbeats_left;    /**< heartbeats that still carry the update about this VM */
+	bool suspect; /**< a call to it failed: not used until its next heartbeat or answer. Not
+			 sent to other VMs */
+	uint64_t conf_version; /**< configuration version that it last reported */
+	bool ranked_usable;    /**< whether it was usable when the roles were last assigned */
 };
 TAILQ_HEAD(vms, vm);
 
-/** One piece of news: the state of a VM at a version. */
-struct vm_news {
+/** Update about a VM, carried by heartbeats: its state at the version @a seq. */
+struct vm_update {
 	char vm[NAME_SIZE];
 	uint64_t incarnation;
 	uint64_t seq;
@@ -54,20 +55,20 @@
 };
 
 struct peers {
-	struct vms vms; /**< in order of their names: the ring */
+	struct vms vms; /**< sorted by name, which also is the order of the heartbeat ring */
 	GHashTable *by_name;
 	unsigned n;
-	uint64_t revision; /**< of the platform's list */
+	uint64_t revision; /**< revision of the platform's list in use */
 	struct vm *self;
 };
 
-/** A line of the platform's list. */
+/** An entry of the platform's list of VMs. */
 struct vm_listing {
 	const char *name;
 	const char *address;
 	const char *data_center;
 	bool leaving;
-	uint64_t incarnation; /**< of its process; 0 when the list does not say */
+	uint64_t incarnation; /**< identifier of its process; 0: not in the list */
 };
 
 void peers_init(struct peers *p, const char *self, const char *address, const char *data_center,
@@ -75,39 +76,40 @@
 void peers_clear(struct peers *p);
 struct vm *peers_find(const struct peers *p, const char *name);
 /**
- * Take in the platform's list of @a revision; an older one changes nothing. @return whether it was
- * taken.
+ * Apply the platform's list at @a revision. @return false, with nothing changed, if the revision is
+ * not newer than the one in use.
  */
-bool peers_list(struct peers *p, uint64_t revision, const struct vm_listing *l, unsigned n);
+bool peers_apply_list(struct peers *p, uint64_t revision, const struct vm_listing *l, unsigned n);
 /**
- * Choose the VMs for this round's heartbeats: neighbours, and one at random from the fleet.
- * @return how many.
+ * Choose the VMs for this round's heartbeats: neighbours, some suspected VMs, and one at random
+ * from the fleet. @return their number.
  */
 unsigned peers_targets(struct peers *p, uint64_t random, struct vm *out[PEERS_TARGETS_MAX]);
-/** @a vm answered. */
-void peers_heard(struct vm *vm, uint64_t incarnation, uint64_t conf_version);
-/** @a vm did not answer a heartbeat. @return whether it counts as dead from now on. */
-bool peers_missed(struct peers *p, struct vm *vm);
-/** A call to @a vm failed: use another one until @a vm is heard again. */
+/** Record that @a vm sent or answered a heartbeat. */
+void peers_record_contact(struct vm *vm, uint64_t incarnation, uint64_t conf_version);
+/** Record that @a vm did not answer a heartbeat. @return whether it has just become dead. */
+bool peers_record_miss(struct peers *p, struct vm *vm);
+/** Mark @a vm, to which a call failed, as not usable until the next heartbeat or answer from it. */
 void peers_suspect(struct peers *p, struct vm *vm);
-/** This VM leaves: tell the others. */
+/** Mark this VM as leaving and notify the others. */
 void peers_leave(struct peers *p);
-/** Take in news that came with a heartbeat. News of one's own death is answered by newer news. */
-void peers_learn(struct peers *p, const struct vm_news *news);
-/** News to send with the next heartbeat. @return how many. */
-unsigned peers_news(struct peers *p, struct vm_news out[PEERS_NEWS_MAX]);
+/** Apply a received update. One that reports this VM as dead is answered by a newer update. */
+void peers_apply_update(struct peers *p, const struct vm_update *update);
+/** Collect the updates for the next heartbeat. @return their number. */
+unsigned peers_collect_updates(struct peers *p, struct vm_update out[PEERS_UPDATES_MAX]);
+/** @return whether @a vm may be given roles and sent requests */
 bool peers_usable(const struct vm *vm);
 /**
- * The VM that holds the role @a key, near @a data_center when that is not NULL.
- * @return NULL when no VM is usable.
+ * @return the VM that holds the role @a key, or NULL when no VM is usable. VMs in @a data_center
+ * are preferred unless it is NULL.
  */
 struct vm *peers_holder(const struct peers *p, const char *key, const char *data_center);
-/** The same among the other VMs, for a VM that leaves. */
+/** @return the VM that will hold the role @a key once this VM has left, or NULL */
 struct vm *peers_next_holder(const struct peers *p, const char *key);
 /**
- * This VM's place among the usable VMs of its own data centre for @a key, by rendezvous order: 0
- * is first.
+ * @return this VM's rank for @a key among the usable VMs of its own data centre, by rendezvous
+ * hashing; 0 is first
  */
-unsigned peers_place(const struct peers *p, const char *key);
+unsigned peers_own_rank(const struct peers *p, const char *key);
 
 #endif
--- a/decide/place.c
+++ b/decide/place.c
@@ -1,35 +1,35 @@
-/** @file place.c The member that serves a read. */
+/** @file place.c Choice of the member that serves a read. */
 #include "place.h"
 
 /**
- * A read goes to another data centre only when it is served so much sooner there. Less, and the
- * noise of the members' averages alone sends reads away; more, and reads wait for busy slots beside
- * idle ones.
+ * A read is sent to another data centre only if it is served sooner there by this time. With a
+ * lower value, noise in the members' moving averages sends reads to other data centres; with a
+ * higher one, reads wait for busy local slots while remote ones are idle.
  */
-#define FAR_US (15.0 * USEC_PER_MSEC)
-/** Slots of the primary that reads leave to writes while a replica fits too. */
-#define PRIMARY_RESERVE 1
+#define REMOTE_PENALTY_US (15.0 * USEC_PER_MSEC)
+/** Slots of the primary that are reserved for writes while a replica can serve the read. */
+#define PRIMARY_RESERVED_SLOTS 1
 
-/** Statements that the member may have at a time, for a read. */
+/** @return the number of statements up to which the member may be given a further read */
 static unsigned read_limit(const struct place_member *m, bool replica_fits)
 {
 	if (!m->primary || !replica_fits)
-		return m->slots + PLACE_AHEAD;
+		return m->slots + PLACE_PIPELINE_DEPTH;
 	if (m->last)
 		return 0;
-	return m->slots > PRIMARY_RESERVE ? m->slots - PRIMARY_RESERVE : 0;
+	return m->slots > PRIMARY_RESERVED_SLOTS ? m->slots - PRIMARY_RESERVED_SLOTS : 0;
 }
 
-/** When the read would be answered, with what a way to another data centre is worth on top. */
+/** @return expected time to the answer, plus the penalty of another data centre */
 static double cost_us(const struct place_member *m)
 {
-	unsigned beyond = m->out + 1 > m->slots ? m->out + 1 - m->slots : 0;
-	double cost = m->service_us * (1 + (double)beyond / m->slots);
+	unsigned beyond_slots = m->out + 1 > m->slots ? m->out + 1 - m->slots : 0;
+	double cost = m->service_us * (1 + (double)beyond_slots / m->slots);
 
-	/* Opening a connection takes a slot for as long as a statement does. */
+	/* Opening a connection occupies a slot for as long as a statement does. */
 	if (!m->ready)
 		cost += m->service_us;
-	return m->near ? cost : cost + FAR_US;
+	return m->near ? cost : cost + REMOTE_PENALTY_US;
 }
 
 struct place_outcome place_read(const struct place_member *m, unsigned n)
--- a/decide/share.c
+++ b/decide/share.c
@@ -1,4 +1,4 @@
-/** @file share.c Holders and the allocator of a team's rate. */
+/** @file share.c Division of a team's rate over VMs: holders and the allocator. */
 #include "share.h"
 
 #include <stdio.h>
@@ -7,38 +7,38 @@
 
 /** Window over which arrivals are counted. */
 #define DEMAND_WINDOW_US (100 * USEC_PER_MSEC)
-/** Weight of the newest window in the moving average when demand falls; a rise counts at once. */
+/** Weight of the newest window in the moving average of falling demand; a rise applies at once. */
 #define DEMAND_FALL_ALPHA 0.3
-/** Weight of each window in the longer average: about a second. */
+/** Weight of the newest window in the longer moving average, which covers about a second. */
 #define AVERAGE_ALPHA 0.1
-/** Part of a peak that counts as lasting demand. */
-#define PEAK_PART 1.0
+/** Fraction of the latest peak that counts as demand. */
+#define PEAK_WEIGHT 1.0
 /**
- * Part of the burst (of a second of the rate, at most) that a team may ask for above its rate
- * before it counts as over: random arrivals at three quarters of a rate of 40 pass it for a second
- * now and then, and the burst is there for that.
+ * Fraction of the burst, or of one second of the rate if that is less, by which a team's demand may
+ * exceed its rate before the team counts as over its rate. Random arrivals at three quarters of a
+ * rate of 40 per second exceed that rate for a second now and then; the burst covers this.
  */
-#define OVER_SLACK 0.5
-/** Demand is given room to grow before the rest is split evenly. */
-#define HEADROOM 1.3
-/** Part of the whole that the allocator's own VM keeps to grant single tokens from. */
-#define SHARE_RESERVE 0.1
+#define OVER_RATE_SLACK 0.5
+/** Factor on demand, as room for growth, before the unused rate is split evenly. */
+#define DEMAND_HEADROOM 1.3
+/** Fraction of all units that the allocator's own VM keeps in order to grant single tokens. */
+#define ALLOCATOR_RESERVE 0.1
 /**
- * Part of an even split that a holder keeps without any demand, so that a first request finds a
- * token.
+ * Fraction of the units that is split evenly among all holders, regardless of demand, so that a
+ * first request finds a token.
  */
-#define SHARE_FLOOR 0.05
-/** Changes smaller than this part of the whole are not ordered. */
-#define SHARE_STEP (SHARE_WHOLE / 200)
-/** Part of the burst that is handed out when rates are split into own and moved parts. */
+#define EVEN_FLOOR 0.05
+/** Smaller changes of a holder's units are not ordered. */
+#define SHARE_STEP_UNITS (SHARE_TOTAL_UNITS / 200)
+/** Fraction of the burst that is handed out when a rate is split into own and dynamic parts. */
 #define SPLIT_BURST 0.5
-/** Part of what the users tolerate that is used: requests are counted where they arrive, later. */
+/** Fraction of the tolerance that is used: the users count requests on arrival, later than here. */
 #define SPLIT_SAFETY 0.93
-/** A burst with fewer tokens than this for each holder is not split. */
-#define SHARE_SPLIT_TOKENS 2
-/** A holder with fewer requests a second than this has nothing new to tell. */
-#define IDLE_RATE 0.05
-/** A holder that has been silent for longer counts as having no demand. */
+/** A burst of fewer tokens per holder is not split. */
+#define SPLIT_TOKENS_MIN 2
+/** A holder with fewer requests per second counts as idle and reports less often. */
+#define IDLE_RATE_PER_S 0.05
+/** A holder whose last report is older counts as having no demand. */
 #define DEMAND_STALE_US (5 * USEC_PER_SEC)
 
 double share_tolerated(double rate, double burst, const struct share_tolerance *t)
@@ -49,23 +49,23 @@
 struct share_split share_split(double rate, double burst, unsigned vms,
 			       const struct share_tolerance *t)
 {
-	struct share_split s = {.moved_rate = rate, .moved_burst = burst};
+	struct share_split s = {.dynamic_rate = rate, .dynamic_burst = burst};
 	double held, m;
 
 	if (t->window_s <= 0 || vms == 0 || rate <= 0)
 		return s;
 	held = burst * SPLIT_BURST;
-	/* What may pass in a window, less the burst that is kept, as a multiple of the rate. */
+	/* Requests tolerated in a window, less the burst handed out, as a multiple of the rate. */
 	m = (share_tolerated(rate, burst, t) - held) / (rate * t->window_s);
 	if (m > SHARE_RATE_MAX)
 		m = SHARE_RATE_MAX;
-	/* Own parts of less than a token would admit nobody. */
+	/* Own parts of less than one token would admit no request. */
 	if (m < 1 || held / 2 < vms)
 		return s;
 	s.own_rate = rate * m / 2 / vms;
 	s.own_burst = held / 2 / vms;
-	s.moved_rate = rate * m / 2;
-	s.moved_burst = held / 2;
+	s.dynamic_rate = rate * m / 2;
+	s.dynamic_burst = held / 2;
 	s.own_part = 0.5 / vms;
 	return s;
 }
@@ -78,7 +78,7 @@
 	h->reported_us = now_us - SHARE_REPORT_SLOW_US;
 }
 
-static void holder_roll(struct share_holder *h, int64_t now_us)
+static void holder_close_window(struct share_holder *h, int64_t now_us)
 {
 	int64_t span = now_us - h->window_us;
 	int64_t windows;
@@ -102,24 +102,24 @@
 
 void share_holder_arrival(struct share_holder *h, bool admitted, int64_t now_us)
 {
-	holder_roll(h, now_us);
+	holder_close_window(h, now_us);
 	h->arrivals++;
 	if (!admitted)
-		h->short_now = true;
+		h->short_of_tokens = true;
 }
 
 int64_t share_holder_due_us(const struct share_holder *h)
 {
-	if (h->short_now)
-		return h->reported_us +
-		       (h->units == 0 && h->heard ? SHARE_REPORT_ASK_US : SHARE_REPORT_FAST_US);
+	if (h->short_of_tokens)
+		return h->reported_us + (h->units == 0 && h->answered ? SHARE_REPORT_NO_UNITS_US
+								      : SHARE_REPORT_FAST_US);
 	/*
-	 * A holder that was answered and given nothing is bound as well; reporting on would bring
-	 * it nothing, and was four fifths of a large fleet's control traffic.
+	 * A holder without units whose report was answered is bound as well and needs no frequent
+	 * reports: these were four fifths of the control traffic of a large fleet.
 	 */
-	if (h->epoch == 0 || !h->heard)
+	if (h->epoch == 0 || !h->answered)
 		return h->reported_us + SHARE_REPORT_FAST_US * 4;
-	if (h->average < IDLE_RATE && h->demand < IDLE_RATE)
+	if (h->average < IDLE_RATE_PER_S && h->demand < IDLE_RATE_PER_S)
 		return h->reported_us + SHARE_REPORT_IDLE_US;
 	return h->reported_us + SHARE_REPORT_SLOW_US;
 }
@@ -128,18 +128,18 @@
 {
 	struct share_report r;
 
-	holder_roll(h, now_us);
+	holder_close_window(h, now_us);
 	r.incarnation = h->incarnation;
 	r.epoch = h->epoch;
 	r.seq = h->seq;
 	r.units = h->units;
 	r.demand = h->demand;
 	r.average = h->average;
-	/* A holder that is short has demand, even when its window has not closed yet. */
-	if (h->short_now && r.demand < 1)
+	/* A holder short of tokens has demand, even if its current window is still open. */
+	if (h->short_of_tokens && r.demand < 1)
 		r.demand = 1;
 	h->reported_us = now_us;
-	h->short_now = false;
+	h->short_of_tokens = false;
 	return r;
 }
 
@@ -151,27 +151,27 @@
 		return false;
 	if (o->epoch > h->epoch) {
 		/*
-		 * Binding alone moves nothing: the new allocator must first hear what is held here.
+		 * Binding changes no units: the new allocator first needs a report of those held.
 		 */
 		h->epoch = o->epoch;
 		h->seq = 0;
-		h->heard = false;
+		h->answered = false;
 		h->over = false;
 		h->reported_us = now_us - SHARE_REPORT_SLOW_US;
 		return false;
 	}
 	h->over = o->over;
-	h->heard = true;
+	h->answered = true;
 	/*
-	 * An order that comes late, after a newer one, would bring units back that were given to
-	 * others.
+	 * An order that arrives after a newer one would restore units that were given to other
+	 * holders since.
 	 */
 	if (o->seq <= h->seq)
 		return false;
 	h->seq = o->seq;
 	h->units = h->leaving ? 0 : o->units;
 	if (h->units < before) {
-		/* Others wait for what was lowered here; tell the allocator soon. */
+		/* Other holders wait for the released units: report to the allocator at once. */
 		h->reported_us = now_us - SHARE_REPORT_SLOW_US;
 	}
 	return h->units != before;
@@ -180,18 +180,19 @@
 bool share_holder_paused(struct share_holder *h, int64_t gap_us)
 {
 	/*
-	 * A VM that was stopped for long may have been taken off the platform's list, and its units
-	 * given to others. Using them after waking would pass the team's rate. A pause shorter than
-	 * SHARE_PAUSE_MAX_US can't have been followed by a hand-out, which waits SHARE_GONE_US.
+	 * During a long pause the VM may have been removed from the platform's list and its units
+	 * given to others; using them as well would exceed the team's rate. After a pause shorter
+	 * than SHARE_PAUSE_MAX_US this can't be, since allocators wait SHARE_DELIST_GRACE_US before
+	 * they reassign units.
 	 */
 	if (gap_us < SHARE_PAUSE_MAX_US || h->units == 0)
 		return false;
 	h->units = 0;
-	h->short_now = true;
+	h->short_of_tokens = true;
 	return true;
 }
 
-void share_holder_poked(struct share_holder *h)
+void share_holder_report_now(struct share_holder *h)
 {
 	h->reported_us -= SHARE_REPORT_IDLE_US;
 }
@@ -200,10 +201,10 @@
 {
 	h->leaving = true;
 	h->units = 0;
-	h->short_now = true;
+	h->short_of_tokens = true;
 }
 
-bool share_holder_hopeful(const struct share_holder *h)
+bool share_holder_within_rate(const struct share_holder *h)
 {
 	return !h->over;
 }
@@ -217,7 +218,7 @@
 	a->burst = burst;
 	snprintf(a->self, sizeof(a->self), "%s", self);
 	a->epoch = (UINT64_C(1) << 32) | salt;
-	a->gone_us = SHARE_GONE_US;
+	a->delist_grace_us = SHARE_DELIST_GRACE_US;
 	a->by_vm = g_hash_table_new(g_str_hash, g_str_equal);
 	TAILQ_INIT(&a->entries);
 }
@@ -253,7 +254,7 @@
 	return e;
 }
 
-/** Nothing that this holder has is known any more. */
+/** Discard the state of a holder until it reports under the current epoch. */
 static void entry_unbind(struct share_entry *e)
 {
 	e->bound = false;
@@ -263,7 +264,7 @@
 	e->acked = 0;
 }
 
-/** Forget a holder; before the census is complete, what it had is not this allocator's to give. */
+/** Remove a holder. Until the census is complete, its units leave the budget with it. */
 static void alloc_remove(struct share_alloc *a, struct share_entry *e)
 {
 	if (e->bound && !a->whole)
@@ -273,19 +274,20 @@
 	free(e);
 }
 
-/** Whether units that this VM may hold must still be counted. */
-static bool entry_counts(const struct share_alloc *a, const struct share_entry *e, int64_t now_us)
+/** @return whether the VM may still use units, so that they must be counted */
+static bool entry_may_hold_units(const struct share_alloc *a, const struct share_entry *e,
+				 int64_t now_us)
 {
-	return e->listed || now_us - e->gone_us < a->gone_us;
+	return e->listed || now_us - e->delisted_us < a->delist_grace_us;
 }
 
-/** Once every VM that may hold units is bound, all that is not held is this allocator's to give. */
+/** Complete the census when every VM that may hold units is bound; the budget then is all units. */
 static void alloc_census(struct share_alloc *a, int64_t now_us)
 {
 	struct share_entry *e, *next;
 
 	TAILQ_FOREACH_SAFE(e, &a->entries, link, next) {
-		if (entry_counts(a, e, now_us))
+		if (entry_may_hold_units(a, e, now_us))
 			continue;
 		alloc_remove(a, e);
 	}
@@ -298,10 +300,11 @@
 	if (TAILQ_EMPTY(&a->entries))
 		return;
 	a->whole = true;
-	a->budget = SHARE_WHOLE;
+	a->budget = SHARE_TOTAL_UNITS;
 }
 
-unsigned share_alloc_unheard(struct share_alloc *a, const char **vms, unsigned max, int64_t now_us)
+unsigned share_alloc_unbound_to_ask(struct share_alloc *a, const char **vms, unsigned max,
+				    int64_t now_us)
 {
 	struct share_entry *e;
 	unsigned n = 0;
@@ -311,15 +314,16 @@
 	TAILQ_FOREACH(e, &a->entries, link) {
 		if (n == max)
 			break;
-		if (e->bound || (e->asked_us != 0 && now_us - e->asked_us < SHARE_ASK_AGAIN_US))
+		if (e->bound ||
+		    (e->census_asked_us != 0 && now_us - e->census_asked_us < SHARE_ASK_AGAIN_US))
 			continue;
-		e->asked_us = now_us;
+		e->census_asked_us = now_us;
 		vms[n++] = e->vm;
 	}
 	return n;
 }
 
-unsigned share_alloc_unbound(const struct share_alloc *a, const char **first)
+unsigned share_alloc_count_unbound(const struct share_alloc *a, const char **first)
 {
 	const struct share_entry *e;
 	unsigned n = 0;
@@ -347,7 +351,7 @@
 		alloc_get(a, vms[i])->listed = true;
 	TAILQ_FOREACH(e, &a->entries, link) {
 		if (e->was_listed && !e->listed)
-			e->gone_us = now_us;
+			e->delisted_us = now_us;
 	}
 	alloc_census(a, now_us);
 }
@@ -362,8 +366,8 @@
 	alloc_census(a, now_us);
 }
 
-/** Another allocator of a higher epoch has been heard of: begin again above it. */
-static void alloc_restart(struct share_alloc *a, uint64_t above)
+/** Start a new epoch above the one of another allocator that a holder has reported. */
+static void alloc_begin_epoch(struct share_alloc *a, uint64_t above)
 {
 	struct share_entry *e;
 
@@ -372,7 +376,7 @@
 	a->budget = 0;
 	TAILQ_FOREACH(e, &a->entries, link) {
 		entry_unbind(e);
-		e->asked_us = 0;
+		e->census_asked_us = 0;
 	}
 }
 
@@ -388,13 +392,13 @@
 
 static double entry_demand(const struct share_entry *e, int64_t now_us)
 {
-	return now_us - e->heard_us > DEMAND_STALE_US ? 0 : e->demand;
+	return now_us - e->last_report_us > DEMAND_STALE_US ? 0 : e->demand;
 }
 
 /**
- * What the team asks for as a whole. The parts follow each VM's latest peak, but the sum of peaks
- * at different moments is more than the team ever sends, and would have requests refused that are
- * within its rate.
+ * @return the demand of the whole team, as the sum of the VMs' averages. The VMs' peaks, which
+ * determine the split, occur at different times: their sum exceeds what the team ever sends, and
+ * requests within its rate would be refused.
  */
 static double alloc_average(const struct share_alloc *a, int64_t now_us)
 {
@@ -402,28 +406,29 @@
 	double sum = 0;
 
 	TAILQ_FOREACH(e, &a->entries, link) {
-		if (e->bound && now_us - e->heard_us <= DEMAND_STALE_US)
+		if (e->bound && now_us - e->last_report_us <= DEMAND_STALE_US)
 			sum += e->average;
 	}
 	return sum;
 }
 
 /**
- * A VM's weight: what it asked for over a second, or, when that is more, a part of its latest
- * peak.
+ * @return a VM's weight in the split: its average demand over about a second, or the fraction
+ * PEAK_WEIGHT of its latest peak if that is higher
  */
 static double entry_weight(const struct share_entry *e, int64_t now_us)
 {
-	double peak = entry_demand(e, now_us) * PEAK_PART;
+	double peak = entry_demand(e, now_us) * PEAK_WEIGHT;
 
 	return e->average > peak ? e->average : peak;
 }
 
 /**
- * Part of what moves that a VM with @a part of the team's requests should hold: what its own part
- * lacks, so that own and moved together follow where the requests come.
+ * @return the fraction of the dynamic part that a VM with the fraction @a part of the team's
+ * requests should hold. The dynamic part supplements the VMs' own parts where these are too small,
+ * so that own and dynamic part together match the distribution of requests.
  */
-static double moved_weight(const struct share_alloc *a, double part, double sum, int64_t now_us)
+static double dynamic_part(const struct share_alloc *a, double part, double sum, int64_t now_us)
 {
 	const struct share_entry *e;
 	double lacking = 0;
@@ -440,9 +445,9 @@
 }
 
 /**
- * What @a e should hold. Above a floor, each VM has its part by weight; what the team leaves of its
- * rate is split evenly, so that a VM at which requests begin to arrive has tokens for them. The
- * allocator's own VM keeps a reserve besides, out of which it grants single tokens.
+ * @return the units that @a e should hold. Each VM gets a floor and, above it, units by its weight.
+ * The unused part of the rate is split evenly, so that a VM at which requests start to arrive has
+ * tokens for them. The allocator's own VM also gets a reserve, from which it grants single tokens.
  */
 static uint32_t alloc_target(const struct share_alloc *a, const struct share_entry *e,
 			     int64_t now_us)
@@ -458,24 +463,25 @@
 		sum += entry_weight(other, now_us);
 	}
 	/*
-	 * A VM that the platform does not list could vanish unseen with its units, and be thought
-	 * gone while it still spends them. It gets none until it is listed.
+	 * If a VM that is not on the platform's list disappears, nothing shows when its units can
+	 * be reassigned, and it might still spend them. It gets none until it is listed.
 	 */
 	if (!e->listed)
 		return 0;
-	/* Split into parts of less than a token, the burst would serve nobody. */
-	if (a->burst < SHARE_SPLIT_TOKENS * (double)bound)
+	/* A burst that is split into parts of less than a token would admit no request. */
+	if (a->burst < SPLIT_TOKENS_MIN * (double)bound)
 		return strcmp(e->vm, a->self) == 0 ? a->budget : 0;
 	even = 1.0 / bound;
 	weight = entry_weight(e, now_us);
-	rest = 1 - SHARE_FLOOR - SHARE_RESERVE;
-	if (sum * HEADROOM < a->rate)
-		weight = weight * HEADROOM / a->rate + (1 - sum * HEADROOM / a->rate) * even;
+	rest = 1 - EVEN_FLOOR - ALLOCATOR_RESERVE;
+	if (sum * DEMAND_HEADROOM < a->rate)
+		weight = weight * DEMAND_HEADROOM / a->rate +
+			 (1 - sum * DEMAND_HEADROOM / a->rate) * even;
 	else
-		weight = moved_weight(a, weight / sum, sum, now_us);
-	weight = SHARE_FLOOR * even + rest * weight;
+		weight = dynamic_part(a, weight / sum, sum, now_us);
+	weight = EVEN_FLOOR * even + rest * weight;
 	if (strcmp(e->vm, a->self) == 0)
-		weight += SHARE_RESERVE;
+		weight += ALLOCATOR_RESERVE;
 	return (uint32_t)((double)a->budget * weight);
 }
 
@@ -493,8 +499,8 @@
 static void entry_ack(struct share_entry *e, const struct share_report *r)
 {
 	/*
-	 * A holder that paused may hold less than it was ordered to; it never holds more than it
-	 * says.
+	 * A holder that was paused may hold less than was ordered; it never holds more than it
+	 * reports.
 	 */
 	if (r->seq == e->seq) {
 		e->acked = r->seq;
@@ -508,66 +514,67 @@
 	uint32_t held = alloc_held(a);
 	uint32_t spare = a->budget > held ? a->budget - held : 0;
 
-	a->wanting = target > e->held + SHARE_STEP && target - e->held > spare;
+	a->short_of_units = target > e->held + SHARE_STEP_UNITS && target - e->held > spare;
 	if (e->acked != e->seq)
 		return;
 	if (target > e->held && target - e->held > spare)
 		target = e->held + spare;
 	if (target == e->ordered && e->ordered == e->held)
 		return;
-	if (target + SHARE_STEP > e->held && target < e->held + SHARE_STEP && spare < SHARE_STEP &&
-	    e->seq > 0)
+	if (target + SHARE_STEP_UNITS > e->held && target < e->held + SHARE_STEP_UNITS &&
+	    spare < SHARE_STEP_UNITS && e->seq > 0)
 		return;
 	e->seq++;
 	e->ordered = target;
 	/*
-	 * Raised units count from the order on; lowered ones are free only when the holder says
-	 * that it obeyed.
+	 * An increase counts as held as soon as it is ordered; a decrease is free for others only
+	 * when the holder has reported it as carried out.
 	 */
 	if (target > e->held)
 		e->held = target;
 }
 
-unsigned share_alloc_overfull(struct share_alloc *a, const char **vms, unsigned max, int64_t now_us)
+unsigned share_alloc_over_target(struct share_alloc *a, const char **vms, unsigned max,
+				 int64_t now_us)
 {
 	struct share_entry *e;
 	unsigned n = 0;
 
-	if (!a->wanting)
+	if (!a->short_of_units)
 		return 0;
 	TAILQ_FOREACH(e, &a->entries, link) {
 		if (n == max)
 			break;
-		if (!e->bound || e->held < alloc_target(a, e, now_us) + SHARE_STEP)
+		if (!e->bound || e->held < alloc_target(a, e, now_us) + SHARE_STEP_UNITS)
 			continue;
-		if (now_us - e->poked_us < SHARE_REPORT_FAST_US)
+		if (now_us - e->reclaim_asked_us < SHARE_REPORT_FAST_US)
 			continue;
-		e->poked_us = now_us;
+		e->reclaim_asked_us = now_us;
 		vms[n++] = e->vm;
 	}
 	return n;
 }
 
-bool share_alloc_self_short(const struct share_alloc *a, int64_t now_us)
+bool share_alloc_self_below_target(const struct share_alloc *a, int64_t now_us)
 {
 	const struct share_entry *e = alloc_find(a, a->self);
 
-	if (e == NULL || !e->bound || alloc_held(a) + SHARE_STEP > a->budget)
+	if (e == NULL || !e->bound || alloc_held(a) + SHARE_STEP_UNITS > a->budget)
 		return false;
-	return alloc_target(a, e, now_us) > e->held + SHARE_STEP;
+	return alloc_target(a, e, now_us) > e->held + SHARE_STEP_UNITS;
 }
 
 /**
- * Note which process of the VM reports. A restarted one holds nothing.
- * @return false for a late report of a process that has ended.
+ * Record which process of the VM reports. A restarted process holds no units.
+ * @return false for a late report of the previous process
  */
-static bool entry_incarnation(struct share_entry *e, const struct share_report *r)
+static bool entry_check_incarnation(struct share_entry *e, const struct share_report *r)
 {
 	if (r->incarnation == e->incarnation)
 		return true;
-	if (r->incarnation == e->former)
+	if (r->incarnation == e->previous_incarnation)
 		return false;
-	e->former = e->incarnation;
+	e->previous_incarnation = e->incarnation;
 	e->incarnation = r->incarnation;
 	entry_unbind(e);
 	return true;
@@ -579,15 +586,15 @@
 	struct share_order o = {0};
 	struct share_entry *e = alloc_get(a, vm);
 
-	if (!entry_incarnation(e, r))
+	if (!entry_check_incarnation(e, r))
 		return o;
-	e->heard_us = now_us;
+	e->last_report_us = now_us;
 	e->demand = r->demand;
 	e->average = r->average;
 	if (!e->listed)
-		e->gone_us = now_us;
+		e->delisted_us = now_us;
 	if (r->epoch > a->epoch)
-		alloc_restart(a, r->epoch);
+		alloc_begin_epoch(a, r->epoch);
 	o.epoch = a->epoch;
 	if (r->epoch < a->epoch)
 		return o;
@@ -600,6 +607,6 @@
 	o.seq = e->seq;
 	o.units = e->ordered;
 	o.over = alloc_average(a, now_us) >
-		 a->rate + OVER_SLACK * (a->burst < a->rate ? a->burst : a->rate);
+		 a->rate + OVER_RATE_SLACK * (a->burst < a->rate ? a->burst : a->rate);
 	return o;
 }
--- a/decide/share.h
+++ b/decide/share.h
@@ -1,13 +1,15 @@
 /**
  * @file share.h
- * Splits a team's rate and burst over the VMs so that the parts never add up to more than the
- * whole, also while they move, while VMs pause or die, and while the network is cut. Source:
- * docs/DESIGN.md, "Fleet-wide rate and burst".
+ * Dynamic shares of a team's rate and burst: divides them over the VMs by demand, such that the
+ * parts never add up to more than the whole, even while parts change, VMs pause or fail, or the
+ * network is partitioned. A team is a set of callers that share a rate limit.
+ * Source: docs/DESIGN.md, "Fleet-wide rate and burst".
  *
- * A holder (one per VM and team) has units of SHARE_WHOLE. The team's allocator moves units between
- * holders. A holder obeys one allocator at a time, the one of the highest epoch it has heard, and
- * an allocator hands out only what its bound holders had, or the whole once every listed VM is
- * bound to it. So no lease and no platform call is needed.
+ * Rate and burst are divided into SHARE_TOTAL_UNITS units. A holder (one per VM and team) has some
+ * of them, and the team's allocator moves units between holders. A holder is bound to one allocator
+ * at a time: the one with the highest epoch that it has received an order of. The allocator may
+ * distribute only the units that its bound holders reported, or all units once its census is
+ * complete, i.e. every listed VM is bound to it. This needs neither a lease nor a platform call.
  */
 #ifndef DECIDE_SHARE_H
 #define DECIDE_SHARE_H
@@ -16,83 +18,85 @@
 
 #include <glib.h>
 
-/** A team's whole rate and burst, in units. */
-#define SHARE_WHOLE 1048576U
+/** Number of units that a team's rate and burst are divided into. */
+#define SHARE_TOTAL_UNITS 1048576U
 /**
- * A holder whose loop stood still for longer gives up its units: others may have been given them.
+ * A holder whose event loop was paused for longer gives up its units: they may have been
+ * reassigned.
  */
 #define SHARE_PAUSE_MAX_US (2 * USEC_PER_SEC)
 /**
- * How long after a VM left the platform's list its units are given to others. Above the pause by a
- * wide margin.
+ * Time after which the units of a VM that left the platform's list are reassigned. It exceeds
+ * SHARE_PAUSE_MAX_US by a wide margin.
  */
-#define SHARE_GONE_US (6 * USEC_PER_SEC)
-/** Shortest and longest time between two reports of a holder. */
+#define SHARE_DELIST_GRACE_US (6 * USEC_PER_SEC)
+/** Shortest interval between two reports of a holder, which applies when it is short of tokens. */
 #define SHARE_REPORT_FAST_US (50 * USEC_PER_MSEC)
 /**
- * The same for a holder without any units, whose requests wait for single tokens. At 50 ms each
- * request of a team that is too small to be split over the fleet took 25 ms more, half of what it
- * takes.
+ * Shortest interval for a holder without units, whose requests wait for single tokens. With
+ * SHARE_REPORT_FAST_US, requests of a team too small to be split took 25 ms longer, half
+ * of their usual duration.
  */
-#define SHARE_REPORT_ASK_US (5 * USEC_PER_MSEC)
+#define SHARE_REPORT_NO_UNITS_US (5 * USEC_PER_MSEC)
+/** Longest interval between two reports of a holder with demand. */
 #define SHARE_REPORT_SLOW_US (1 * USEC_PER_SEC)
-/** The same for one without requests; below the time after which it counts as silent. */
+/** Report interval of a holder without requests; below the age at which reports are stale. */
 #define SHARE_REPORT_IDLE_US (4 * USEC_PER_SEC)
 
 /**
- * Until a holder that was asked to report is asked again. An answer takes 5 ms; a VM that is cut
- * off costs two calls a second for each allocator.
+ * Interval between two requests for a report to the same holder. An answer takes 5 ms; at this
+ * interval an unreachable VM costs each allocator two calls per second.
  */
 #define SHARE_ASK_AGAIN_US (500 * USEC_PER_MSEC)
 
-/** What the users tolerate of a rate that is counted over the whole fleet. */
+/** Deviation from a rate limit of the whole fleet that the users tolerate. */
 struct share_tolerance {
-	double window_s;  /**< length over which a rate is judged; 0: no tolerance */
-	double overshoot; /**< part of the limit in that length that may be passed */
-	double slack;	  /**< requests more */
+	double window_s;  /**< window over which the rate is measured; 0: no tolerance */
+	double overshoot; /**< fraction of the limit by which a window may exceed it */
+	double slack;	  /**< number of requests by which a window may also exceed it */
 };
 
-/** A team's rate and burst, divided into what each VM has for itself and what moves between them.
- */
+/** A team's rate and burst, divided into an own part of each VM and a dynamic part. */
 struct share_split {
-	double own_rate; /**< of each listed VM */
+	double own_rate; /**< own part of each listed VM */
 	double own_burst;
-	double moved_rate; /**< of all VMs together, by units */
-	double moved_burst;
-	double own_part; /**< of each VM, of all that is handed out */
+	double dynamic_rate; /**< dynamic part of all VMs together, divided by units */
+	double dynamic_burst;
+	double own_part; /**< own part of each VM, as a fraction of all that is handed out */
 };
 
-/** Most that is handed out of a rate, as a multiple of it. */
+/** Most that may be handed out, as a multiple of the rate. */
 #define SHARE_RATE_MAX 1.5
 
-/** Requests of a team that may be let through in a window, with room for those that arrive late. */
+/** @return requests that may be admitted in a window, with a margin for those that arrive late */
 double share_tolerated(double rate, double burst, const struct share_tolerance *t);
 /**
- * Divide @a rate and @a burst among @a vms listed VMs. Parts that move alone serve nobody while the
- * allocator waits to hear from a VM that was lost: after a restart of all VMs that was eleven
- * seconds without any answer. What the tolerance leaves is used for parts that need no allocator.
+ * Divide @a rate and @a burst among @a vms listed VMs. While an allocator waits for the report of a
+ * lost VM, dynamic parts admit no request: after a restart of all VMs this took eleven seconds. The
+ * tolerance is therefore used for own parts, which need no allocator.
  */
 struct share_split share_split(double rate, double burst, unsigned vms,
 			       const struct share_tolerance *t);
 
-/** What a holder tells the allocator. */
+/** Report of a holder to the allocator. */
 struct share_report {
-	uint64_t incarnation; /**< of the holder's process */
-	uint64_t epoch;	      /**< allocator that the holder obeys */
-	uint64_t seq;	      /**< last order of that allocator that was carried out */
+	uint64_t incarnation; /**< identifies the holder's process */
+	uint64_t epoch;	      /**< epoch of the allocator that the holder is bound to */
+	uint64_t seq;	      /**< last order of that allocator that the holder carried out */
 	uint32_t units;
-	double demand;	/**< requests a second that arrived, lately at most */
-	double average; /**< requests a second that arrived, over a longer time */
+	double demand;	/**< recent peak of arriving requests per second */
+	double average; /**< arriving requests per second, averaged over about a second */
 };
 
-/** The allocator's order, in answer to a report. */
+/** Order of the allocator, in response to a report. */
 struct share_order {
 	uint64_t epoch;
 	uint64_t seq;
 	uint32_t units;
-	bool over; /**< the team as a whole asks for more than its rate */
+	bool over; /**< the demand of the whole team exceeds its rate */
 };
 
+/** State of a holder. */
 struct share_holder {
 	uint64_t incarnation;
 	uint64_t epoch;
@@ -101,110 +105,118 @@
 	bool over;
 	double demand;
 	double average;
-	unsigned arrivals; /**< since @a window_us */
+	unsigned arrivals; /**< requests that arrived since @a window_us */
 	int64_t window_us;
-	int64_t reported_us; /**< last report sent */
-	bool leaving;	     /**< takes no units any more */
-	bool heard;	     /**< the allocator that it obeys has answered a report */
-	bool short_now;	     /**< a request found too few tokens since the last report */
+	int64_t reported_us;  /**< time of the last report */
+	bool leaving;	      /**< accepts no more units */
+	bool answered;	      /**< its allocator has answered a report since it was bound */
+	bool short_of_tokens; /**< a request found too few tokens since the last report */
 };
 
 void share_holder_init(struct share_holder *h, uint64_t incarnation, int64_t now_us);
-/** A request of the team arrived; @a admitted tells whether it found a token at once. */
+/** Record the arrival of a request; @a admitted is whether a token was available at once. */
 void share_holder_arrival(struct share_holder *h, bool admitted, int64_t now_us);
-/** When the next report is due. */
+/** @return when the next report is due */
 int64_t share_holder_due_us(const struct share_holder *h);
-/** Make the report that is due now. */
+/** Make a report and record that it is sent now. */
 struct share_report share_holder_report(struct share_holder *h, int64_t now_us);
 /** Carry out @a o. @return whether the units changed. */
 bool share_holder_order(struct share_holder *h, const struct share_order *o, int64_t now_us);
-/** The VM leaves: give up all units. */
+/** Give up all units, because the VM leaves. */
 void share_holder_leave(struct share_holder *h);
-/** The loop stood still for @a gap_us. @return whether the units were given up. */
+/** Handle a pause of the event loop of @a gap_us. @return whether the units were given up. */
 bool share_holder_paused(struct share_holder *h, int64_t gap_us);
 /**
- * Whether a request without a token should wait for units to move here: the team as a whole is
- * within its rate, as far as is known.
+ * @return whether the whole team is within its rate, as far as known here, so that a request
+ * without a token should wait until units are moved to this holder
  */
-bool share_holder_hopeful(const struct share_holder *h);
+bool share_holder_within_rate(const struct share_holder *h);
 
-/** What the allocator knows of one holder. */
+/** State of one holder at the allocator. */
 struct share_entry {
 	TAILQ_ENTRY(share_entry) link;
 	char vm[NAME_SIZE];
-	uint64_t incarnation; /**< of the process that was last heard */
-	uint64_t former;      /**< of the process before it, whose late reports say nothing */
-	bool listed;
-	bool was_listed; /**< on the list before, while a new one is taken in */
-	int64_t gone_us; /**< when it left the platform's list */
-	bool bound;	 /**< it reported under this allocator's epoch */
-	uint64_t seq;	 /**< last order sent */
-	uint64_t acked;	 /**< last order carried out */
-	uint32_t held;	 /**< most that it may hold now */
-	uint32_t ordered;
+	uint64_t incarnation;	       /**< identifies the process that last reported */
+	uint64_t previous_incarnation; /**< identifies the process before it, whose late
+						   reports are ignored */
+	bool listed;		       /**< on the platform's list */
+	bool was_listed;     /**< value of @a listed before, while a new list is applied */
+	int64_t delisted_us; /**< when it left the platform's list */
+	bool bound;	     /**< it has reported under this allocator's epoch */
+	uint64_t seq;	     /**< sequence number of the last order sent */
+	uint64_t acked;	     /**< sequence number of the last order carried out */
+	uint32_t held;	     /**< upper bound of the units that it holds */
+	uint32_t ordered;    /**< units of the last order */
 	double demand;
 	double average;
-	int64_t heard_us;
-	int64_t poked_us;
-	int64_t asked_us; /**< when it was last asked because it is not bound */
+	int64_t last_report_us;	  /**< time of its last report */
+	int64_t reclaim_asked_us; /**< when it was last asked to report because it holds too much */
+	int64_t census_asked_us;  /**< when it was last asked to report because it is not bound */
 };
 TAILQ_HEAD(share_entries, share_entry);
 
+/** The allocator of a team's units. */
 struct share_alloc {
-	GHashTable *by_vm; /**< name to its entry */
+	GHashTable *by_vm; /**< maps a VM's name to its share_entry */
 	uint64_t epoch;
-	uint32_t salt;	 /**< tells allocators apart whose epochs would be equal */
-	uint32_t budget; /**< units that the bound holders may hold together */
-	bool whole;	 /**< every listed VM is bound: the budget is SHARE_WHOLE */
-	/** How long units of a VM that left the list still count; 0 when the list is by leases. */
-	int64_t gone_us;
-	double rate; /**< the team's, a second */
+	uint32_t salt;	 /**< makes the epochs of different allocators distinct */
+	uint32_t budget; /**< sum of units that the bound holders may have */
+	bool whole;	 /**< the census is complete: every listed VM is bound, and the budget is
+			    SHARE_TOTAL_UNITS */
+	/**
+	 * Time for which units of a VM that left the list still count; 0 if the list is based on
+	 * leases.
+	 */
+	int64_t delist_grace_us;
+	double rate; /**< the team's rate, per second */
 	double burst;
-	double own;	      /**< part of all that is handed out that each VM has for itself, see
-				 share_split() */
+	double own; /**< fraction of all that is handed out that is each VM's own part, see
+		       share_split() */
 	char self[NAME_SIZE]; /**< the allocator's own VM */
-	bool wanting;	      /**< the last order was smaller than its target */
+	bool short_of_units;  /**< too few units were free for the last order's target */
 	struct share_entries entries;
 };
 
 void share_alloc_init(struct share_alloc *a, uint32_t salt, const char *self, double rate,
 		      double burst);
 void share_alloc_clear(struct share_alloc *a);
-/** Take in the platform's list of VMs. */
+/** Apply the platform's list of VMs. */
 void share_alloc_listed(struct share_alloc *a, const char *const *vms, unsigned n, int64_t now_us);
 /**
- * @a vm said that it leaves, after it had given up its units: nothing of it has to be counted any
- * more.
+ * Remove @a vm, which has announced that it leaves after giving up its units: none of its units
+ * have to be counted any more.
  */
 void share_alloc_left(struct share_alloc *a, const char *vm, int64_t now_us);
 /**
- * Holders that are to give up units which others wait for, and were not asked to report lately. A
- * holder at rest reports seldom; without being asked, it would keep others short for up to
- * SHARE_REPORT_SLOW_US.
- * @return how many names were put in @a vms
+ * List the holders with more units than their target while others lack units, as far as they were
+ * not asked to report recently. They are to be asked for a report: a holder without demand reports
+ * rarely, and would keep the units from others for up to SHARE_REPORT_SLOW_US.
+ * @return number of names stored in @a vms
  */
-unsigned share_alloc_overfull(struct share_alloc *a, const char **vms, unsigned max,
-			      int64_t now_us);
+unsigned share_alloc_over_target(struct share_alloc *a, const char **vms, unsigned max,
+				 int64_t now_us);
 /**
- * Holders that the allocator has to hear before it may give out anything new, and that were not
- * asked within SHARE_ASK_AGAIN_US: they are to be asked for a report.
- * @return how many names were put in @a vms
+ * List the holders that are not bound and were not asked within SHARE_ASK_AGAIN_US. They are to be
+ * asked for a report, since the allocator distributes no further units before they are bound.
+ * @return number of names stored in @a vms
  */
-unsigned share_alloc_unheard(struct share_alloc *a, const char **vms, unsigned max, int64_t now_us);
+unsigned share_alloc_unbound_to_ask(struct share_alloc *a, const char **vms, unsigned max,
+				    int64_t now_us);
 /**
- * VMs that the allocator has not heard since its epoch began; it gives out nothing new before.
- * @param first set to the first one's name, "" for none
+ * @return the number of VMs without a report since the epoch began, which the allocator waits for
+ * @param first set to the name of the first of them, or ""
  */
-unsigned share_alloc_unbound(const struct share_alloc *a, const char **first);
-/** A report is due now: the allocator asks for it, or is another one. */
-void share_holder_poked(struct share_holder *h);
+unsigned share_alloc_count_unbound(const struct share_alloc *a, const char **first);
+/** Make the next report due now, because the allocator asked for it or has changed. */
+void share_holder_report_now(struct share_holder *h);
 /**
- * Whether units are free that the allocator's own VM should have. It grants single tokens out of
- * its own part: while that VM had no requests itself, it took the units only after
- * SHARE_REPORT_IDLE_US, and until then a small team's requests were refused everywhere.
+ * @return whether units are free that the allocator's own VM should have. The allocator grants
+ * single tokens out of its VM's units. Without this check, a VM without requests of the team would
+ * take the units only with its next report after SHARE_REPORT_IDLE_US, and all requests of a small
+ * team would be refused until then.
  */
-bool share_alloc_self_short(const struct share_alloc *a, int64_t now_us);
-/** Answer a holder's report. */
+bool share_alloc_self_below_target(const struct share_alloc *a, int64_t now_us);
+/** Process the report of a holder. @return the order to answer it with */
 struct share_order share_alloc_report(struct share_alloc *a, const char *vm,
 				      const struct share_report *r, int64_t now_us);
 
--- a/decide/sqlscan.c
+++ b/decide/sqlscan.c
@@ -1,4 +1,4 @@
-/** @file sqlscan.c Split a query at semicolons and class each statement by its first word. */
+/** @file sqlscan.c Split a query at semicolons and classify each statement by its first word. */
 #include "sqlscan.h"
 
 #include <ctype.h>
@@ -12,13 +12,25 @@
 };
 
 static const struct keyword keywords[] = {
-	{"begin", STMT_BEGIN},	    {"start", STMT_BEGIN},	 {"commit", STMT_COMMIT},
-	{"end", STMT_COMMIT},	    {"rollback", STMT_ROLLBACK}, {"abort", STMT_ROLLBACK},
-	{"set", STMT_SET},	    {"show", STMT_SHOW},	 {"reset", STMT_RESET},
-	{"copy", STMT_UNSERVED},    {"listen", STMT_UNSERVED},	 {"unlisten", STMT_UNSERVED},
-	{"prepare", STMT_UNSERVED}, {"execute", STMT_UNSERVED},	 {"deallocate", STMT_UNSERVED},
-	{"declare", STMT_UNSERVED}, {"discard", STMT_UNSERVED},	 {"load", STMT_UNSERVED},
-	{"call", STMT_UNSERVED},
+	{"begin", STMT_BEGIN},
+	{"start", STMT_BEGIN},
+	{"commit", STMT_COMMIT},
+	{"end", STMT_COMMIT},
+	{"rollback", STMT_ROLLBACK},
+	{"abort", STMT_ROLLBACK},
+	{"set", STMT_SET},
+	{"show", STMT_SHOW},
+	{"reset", STMT_RESET},
+	{"copy", STMT_UNSUPPORTED},
+	{"listen", STMT_UNSUPPORTED},
+	{"unlisten", STMT_UNSUPPORTED},
+	{"prepare", STMT_UNSUPPORTED},
+	{"execute", STMT_UNSUPPORTED},
+	{"deallocate", STMT_UNSUPPORTED},
+	{"declare", STMT_UNSUPPORTED},
+	{"discard", STMT_UNSUPPORTED},
+	{"load", STMT_UNSUPPORTED},
+	{"call", STMT_UNSUPPORTED},
 };
 
 /** Skip a "--" or nested slash-star comment at @a p. @return the first byte after it, or @a p. */
@@ -82,7 +94,7 @@
 	return p;
 }
 
-/** Skip a dollar-quoted string that opens at @a p. @return @a p + 1 when it is no such string. */
+/** Skip a dollar-quoted string that opens at @a p. @return @a p + 1 if none opens there. */
 static const char *skip_dollar(const char *p)
 {
 	const char *tag_end = p + 1;
@@ -157,16 +169,16 @@
 			scan.class = class;
 		if (class != STMT_OTHER)
 			control = true;
-		if (class == STMT_UNSERVED)
-			scan.class = STMT_UNSERVED;
+		if (class == STMT_UNSUPPORTED)
+			scan.class = STMT_UNSUPPORTED;
 		scan.statements++;
 		text = statement_end(text);
 	}
-	scan.control_inside = scan.statements > 1 && control;
+	scan.has_control = scan.statements > 1 && control;
 	return scan;
 }
 
-/** Copy the word at @a p, in lower case. @return the first byte after it. */
+/** Copy the word at @a p in lower case, truncated to @a size. @return the first byte after it. */
 static const char *copy_word(const char *p, char *out, size_t size)
 {
 	size_t len = 0;
--- a/decide/sqlscan.h
+++ b/decide/sqlscan.h
@@ -1,7 +1,7 @@
 /**
  * @file sqlscan.h
- * Just enough of a look at a statement's text to keep transactions apart. This is no SQL parser:
- * whether a statement reads or writes is told by its route alone.
+ * Scans the text of a query just as far as needed to recognise transaction control and settings.
+ * This is no SQL parser: whether a statement reads or writes is defined by its route alone.
  */
 #ifndef DECIDE_SQLSCAN_H
 #define DECIDE_SQLSCAN_H
@@ -16,28 +16,28 @@
 	STMT_SET,
 	STMT_SHOW,
 	STMT_RESET,
-	STMT_UNSERVED, /**< would leave state on a shared connection, or needs a protocol that is
-			  not served */
+	STMT_UNSUPPORTED, /**< not supported: would leave state on a shared connection, or needs a
+			     part of the protocol that is not implemented */
 	STMT_OTHER,
 };
 
-/** What one simple query holds. */
+/** Contents of one simple query. */
 struct stmt_scan {
 	enum stmt_class class;
 	unsigned statements; /**< non-empty statements, split at semicolons outside quotes */
-	bool control_inside; /**< one of several statements begins, ends or sets */
+	bool has_control;    /**< there are several statements, and one is not STMT_OTHER */
 };
 
-/** Look at @a text. */
+/** Scan the query @a text. */
 struct stmt_scan sqlscan(const char *text);
 
 /**
- * Take "SET name = value" or "SET name TO value" apart; quotes around the value are removed.
- * @return false when the text is of another shape.
+ * Parse "SET name = value" or "SET name TO value"; single quotes around the value are removed.
+ * @return false when the text has another form or the value is too long.
  */
 bool sqlscan_set(const char *text, char *name, size_t name_size, char *value, size_t value_size);
 
-/** The name in "SHOW name" or "RESET name". @return false when there is none. */
+/** Extract the name of "SHOW name" or "RESET name". @return false when there is none. */
 bool sqlscan_name(const char *text, char *name, size_t name_size);
 
 #endif
--- a/src/caller-query.c
+++ b/src/caller-query.c
@@ -243,7 +243,7 @@
 	 * the proxy runs it in, and the rest would run outside, on a connection that others use
 	 * next.
 	 */
-	if (scan.control_inside || scan.class == STMT_UNSERVED) {
+	if (scan.has_control || scan.class == STMT_UNSUPPORTED) {
 		caller_not_run(c, "0A000",
 			       "this statement is not served through shared connections", 0);
 		return false;
--- a/src/fleet-conf.c
+++ b/src/fleet-conf.c
@@ -25,7 +25,7 @@
 unsigned fleet_watch_rank(struct fleet *f)
 {
 	if (f->watch_rank < 0)
-		f->watch_rank = (int)peers_place(&f->peers, "watch the platform");
+		f->watch_rank = (int)peers_own_rank(&f->peers, "watch the platform");
 	return (unsigned)f->watch_rank;
 }
 
@@ -140,12 +140,12 @@
 	/* Another VM or the store has delivered the same or a newer version meanwhile. */
 	if (p->u.version <= f->conf->version)
 		return false;
-	switch (page_fetch_take(&f->fetch, p)) {
+	switch (page_fetch_add(&f->fetch, p)) {
 	case PAGE_NEXT:
 		return true;
-	case PAGE_OLD:
+	case PAGE_STALE:
 		return false;
-	case PAGE_WHOLE:
+	case PAGE_COMPLETE:
 		break;
 	}
 	page_fetch_end(&f->fetch, &u);
@@ -215,7 +215,7 @@
 	bool admitted = page_peer_admit(&f->page_peers, conn, now_us());
 	guint i;
 
-	page_cut(f->conf, a->conf_version, a->after, admitted ? PAGE_BYTES : UNADMITTED_BYTES, p);
+	page_build(f->conf, a->conf_version, a->after, admitted ? PAGE_BYTES : UNADMITTED_BYTES, p);
 	res->base = p->u.base;
 	res->conf_version = p->u.version;
 	res->full = p->u.full;
--- a/src/fleet-list.c
+++ b/src/fleet-list.c
@@ -157,8 +157,8 @@
 		if (!item->is_part && strcmp(item->name, f->peers.self->name) == 0)
 			f->self_listed = true;
 	}
-	if (peers_list(&f->peers, revision, (const struct vm_listing *)(void *)listings->data,
-		       listings->len)) {
+	if (peers_apply_list(&f->peers, revision, (const struct vm_listing *)(void *)listings->data,
+			     listings->len)) {
 		g_array_unref(f->parts);
 		f->parts = g_array_ref(parts);
 		f->oldest_era = oldest_era;
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -250,9 +250,9 @@
 	char address[ADDRESS_SIZE];
 };
 
-static void heartbeat_make(struct fleet *f, ml_heartbeat *h, struct vm_news *news, ml_news *wire)
+static void heartbeat_make(struct fleet *f, ml_heartbeat *h, struct vm_update *news, ml_news *wire)
 {
-	unsigned n = peers_news(&f->peers, news);
+	unsigned n = peers_collect_updates(&f->peers, news);
 	unsigned i;
 
 	memset(h, 0, sizeof(*h));
@@ -307,19 +307,19 @@
 
 	for (i = 0; i < h->news.news_len; i++) {
 		const ml_news *n = &h->news.news_val[i];
-		struct vm_news news = {
+		struct vm_update news = {
 			.incarnation = n->incarnation, .seq = n->seq, .dead = n->dead};
 		struct vm *about = peers_find(&f->peers, n->vm);
 		bool before = about != NULL && peers_usable(about);
 
 		news.leaving = n->leaving;
 		g_strlcpy(news.vm, n->vm, sizeof(news.vm));
-		peers_learn(&f->peers, &news);
+		peers_apply_update(&f->peers, &news);
 		changed = changed || (about != NULL && peers_usable(about) != before);
 	}
 	if (vm != NULL && vm != f->peers.self) {
 		usable = peers_usable(vm);
-		peers_heard(vm, h->incarnation, h->conf_version);
+		peers_record_contact(vm, h->incarnation, h->conf_version);
 		changed = changed || peers_usable(vm) != usable;
 		if (h->conf_version > f->conf->version || should_fetch_list(f, h->vms_revision))
 			fleet_fetch_from(f, vm->address);
@@ -341,7 +341,7 @@
 	} else if (vm != NULL && vm != f->peers.self) {
 		bool usable = peers_usable(vm);
 
-		if (peers_missed(&f->peers, vm))
+		if (peers_record_miss(&f->peers, vm))
 			log_warn("vm-dead", LOG_STR("peer", vm->name));
 		if (usable != peers_usable(vm))
 			fleet_members_changed(f);
@@ -351,8 +351,8 @@
 
 static void heartbeat_send(struct fleet *f, struct vm *vm)
 {
-	struct vm_news news[PEERS_NEWS_MAX];
-	ml_news wire[PEERS_NEWS_MAX];
+	struct vm_update news[PEERS_UPDATES_MAX];
+	ml_news wire[PEERS_UPDATES_MAX];
 	int64_t timeout = (int64_t)f->service.kernel->settings->heartbeat_ms * USEC_PER_MSEC;
 	struct heartbeat_call *b = g_new0(struct heartbeat_call, 1);
 	ml_heartbeat h;
@@ -385,8 +385,8 @@
 static void heartbeat_serve(struct rpc_request *rq, const void *args, void *owner)
 {
 	struct fleet *f = owner;
-	struct vm_news news[PEERS_NEWS_MAX];
-	ml_news wire[PEERS_NEWS_MAX];
+	struct vm_update news[PEERS_UPDATES_MAX];
+	ml_news wire[PEERS_UPDATES_MAX];
 	ml_heartbeat answer;
 
 	heartbeat_process(f, args);
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -35,7 +35,7 @@
 	void (*stop)(struct fleet *f);
 	/**
 	 * Whether this VM is certainly still on the list that its peers have. If NULL, a removed VM
-	 * has SHARE_GONE_US to receive the new list before its shares are given to others.
+	 * has SHARE_DELIST_GRACE_US to receive the new list before its shares are given to others.
 	 */
 	bool (*listed)(struct fleet *f);
 	/** Reads everything again, since changes were missed. */
--- a/src/owner-conn.c
+++ b/src/owner-conn.c
@@ -17,8 +17,8 @@
 /** How long any unused connection is kept. */
 #define IDLE_KEEP_US (700 * USEC_PER_MSEC)
 /**
- * How long the connections that keep_unused() allows are kept. Members close connections that are
- * idle for longer.
+ * How long the connections that keep_idle_limit() allows are kept. Members close connections that
+ * are idle for longer.
  */
 #define IDLE_KEEP_MAX_US (20 * USEC_PER_SEC)
 /** Pause after MEMBER_FULL from a member to which this VM has no open connection. */
@@ -301,8 +301,8 @@
 		return 0;
 	k.connections = all > PROBE_CONNECTIONS ? all - PROBE_CONNECTIONS : 0;
 	k.users = member_users(m);
-	k.most = keep_most(&m->use);
-	return keep_unused(&k);
+	k.most = keep_peak_use(&m->use);
+	return keep_idle_limit(&k);
 }
 
 /** Closes connections that have been unused for too long, the oldest first. */
@@ -313,7 +313,7 @@
 
 	TAILQ_FOREACH(c, &m->conns, link)
 		unused += conn_idle(c) ? 1 : 0;
-	keep_note(&m->use, m->n_conns - unused, now);
+	keep_record_use(&m->use, m->n_conns - unused, now);
 	keep = unused > 0 ? idle_conns_to_keep(m, now) : 0;
 	while (unused > 0) {
 		int64_t unused_us;
--- a/src/owner-queue.c
+++ b/src/owner-queue.c
@@ -56,7 +56,7 @@
 
 static bool member_has_room(const struct owner_member *m)
 {
-	return m->in_flight < m->conf.slots + PLACE_AHEAD;
+	return m->in_flight < m->conf.slots + PLACE_PIPELINE_DEPTH;
 }
 
 /** Whether the limit of a cold member allows a statement now. */
--- a/src/owner.h
+++ b/src/owner.h
@@ -146,7 +146,7 @@
 	struct owner_conns conns;
 	unsigned n_conns;
 	unsigned n_open;
-	struct keep_use use;
+	struct keep_usage use;
 	unsigned in_flight; /**< statements that hold a slot of the member */
 	int64_t open_after_us;
 	unsigned full_limit; /**< connections open when it last refused one with MEMBER_FULL */
--- a/src/parts.c
+++ b/src/parts.c
@@ -202,7 +202,7 @@
 	if (fleet_is_watcher(f))
 		return (fleet_watch_rank(f) + part->index) % WATCHERS_PER_DC;
 	part_key(part, role);
-	return WATCHERS_PER_DC + peers_place(&f->peers, role);
+	return WATCHERS_PER_DC + peers_own_rank(&f->peers, role);
 }
 
 static void part_tick(struct part *part, int64_t now)
--- a/src/shares-ask.c
+++ b/src/shares-ask.c
@@ -48,7 +48,7 @@
 	return part->address;
 }
 
-static unsigned places_list(struct shares_team *t, struct part_place places[SHARES_PLACES_MAX])
+static unsigned places_list(struct shares_team *t, struct part_candidate places[SHARES_PLACES_MAX])
 {
 	struct shares *s = t->s;
 	const struct fleet *f = fleet_of(s->service.kernel);
@@ -124,7 +124,7 @@
 
 void ask_next(struct shares_team *t, int64_t now)
 {
-	struct part_place places[SHARES_PLACES_MAX];
+	struct part_candidate places[SHARES_PLACES_MAX];
 	const char *self = t->s->service.kernel->settings->name;
 	unsigned n;
 	int at;
@@ -137,8 +137,9 @@
 	}
 	n = places_list(t, places);
 	at = t->ask.asked < ASKS_MAX
-		     ? part_choose(places, n, (unsigned)XXH64(self, strlen(self), 0),
-				   part_ask_far(ask_within_rate(t), t->ask.remote_empty_us, now))
+		     ? part_choose(
+			       places, n, (unsigned)XXH64(self, strlen(self), 0),
+			       part_may_ask_remote(ask_within_rate(t), t->ask.remote_empty_us, now))
 		     : -1;
 	if (at < 0) {
 		round_end(t, true, now);
--- a/src/shares-report.c
+++ b/src/shares-report.c
@@ -104,7 +104,7 @@
 
 	TAILQ_FOREACH(t, &s->teams, link) {
 		if (t->role == role)
-			share_holder_poked(&t->holder);
+			share_holder_report_now(&t->holder);
 	}
 }
 
@@ -211,7 +211,7 @@
 		share_alloc_init(t->alloc, (uint32_t)s->service.kernel->incarnation | 1,
 				 s->service.kernel->settings->name, t->rate, t->burst);
 		if (s->service.kernel->settings->platform_kind == PLATFORM_PREPARED)
-			t->alloc->gone_us = 0;
+			t->alloc->delist_grace_us = 0;
 		t->alloc->own = t->split.own_part;
 		log_info("placement", LOG_STR("choice", "allocator"), LOG_STR("team", t->name));
 		alloc_update_vms(s, t->alloc);
@@ -236,7 +236,7 @@
 {
 	struct kernel *k = t->s->service.kernel;
 	const char *vms[REPORT_REQUESTS_MAX];
-	unsigned n = share_alloc_overfull(t->alloc, vms, REPORT_REQUESTS_MAX, now);
+	unsigned n = share_alloc_over_target(t->alloc, vms, REPORT_REQUESTS_MAX, now);
 	unsigned i;
 
 	for (i = 0; i < n; i++)
@@ -265,7 +265,7 @@
 			continue;
 		if (vms == NULL)
 			vms = g_new(const char *, HOLDERS_MAX);
-		n = share_alloc_unheard(t->alloc, vms, HOLDERS_MAX, now);
+		n = share_alloc_unbound_to_ask(t->alloc, vms, HOLDERS_MAX, now);
 		/*
 		 * The request covers all teams of the allocator role, so one team per role is
 		 * enough.
@@ -285,7 +285,7 @@
 	ml_none res = {.ok = true};
 
 	if (t != NULL)
-		share_holder_poked(&t->holder);
+		share_holder_report_now(&t->holder);
 	else if (a->team[0] == '\0')
 		set_reports_due(s, a->allocator);
 	else
@@ -311,10 +311,10 @@
 		return;
 	t->census_complete = a->whole;
 	t->census_logged_us = now;
-	n = share_alloc_unbound(a, &first);
+	n = share_alloc_count_unbound(a, &first);
 	log_info("rates-census", LOG_STR("team", t->name), LOG_NUM("complete", a->whole),
 		 LOG_NUM("epoch", a->epoch), LOG_NUM("unheard", n), LOG_STR("first", first),
-		 LOG_NUM("units_permille", (int64_t)a->budget * 1000 / SHARE_WHOLE));
+		 LOG_NUM("units_permille", (int64_t)a->budget * 1000 / SHARE_TOTAL_UNITS));
 }
 
 static void share_serve(struct rpc_request *rq, const void *args, void *owner)
@@ -348,8 +348,8 @@
 								 .over = o.over};
 		census_log(t, now);
 		request_excess_reports(t, now);
-		if (share_alloc_self_short(t->alloc, now))
-			share_holder_poked(&t->holder);
+		if (share_alloc_self_below_target(t->alloc, now))
+			share_holder_report_now(&t->holder);
 		if (strcmp(a->vm, s->service.kernel->settings->name) != 0)
 			orders[res.orders.orders_len].granted = team_grant(t, wire->want, now);
 		res.orders.orders_len++;
--- a/src/shares.c
+++ b/src/shares.c
@@ -49,7 +49,7 @@
 
 void team_resize(struct shares_team *t, int64_t now)
 {
-	double part = (double)t->holder.units / SHARE_WHOLE;
+	double part = (double)t->holder.units / SHARE_TOTAL_UNITS;
 	const struct share_split *s = &t->split;
 	unsigned n;
 
@@ -63,8 +63,8 @@
 		n = fixed_held(t);
 		bucket_resize(&t->bucket, n * t->part.rate, n * t->part.burst, now);
 	} else
-		bucket_resize(&t->bucket, s->own_rate + s->moved_rate * part,
-			      s->own_burst + s->moved_burst * part, now);
+		bucket_resize(&t->bucket, s->own_rate + s->dynamic_rate * part,
+			      s->own_burst + s->dynamic_burst * part, now);
 }
 
 /** Recomputes the parts of the team's rate after a change of the rate or of the list of VMs. */
@@ -296,7 +296,7 @@
 /** Returns whether the team's demand over the fleet is within its rate, as known to this VM. */
 static bool team_within_rate(const struct shares_team *t)
 {
-	return t->fixed ? ask_within_rate(t) : share_holder_hopeful(&t->holder);
+	return t->fixed ? ask_within_rate(t) : share_holder_within_rate(&t->holder);
 }
 
 static int64_t max_wait_us(const struct shares_team *t)
@@ -311,7 +311,7 @@
 {
 	if (!a->will_settle)
 		return bucket_take(&t->bucket, 1, now);
-	a->checked_out = bucket_lend(&t->bucket, now);
+	a->checked_out = bucket_reserve(&t->bucket, now);
 	return a->checked_out;
 }
 
@@ -367,7 +367,7 @@
 	}
 	t->granted = 0;
 	if (a != NULL)
-		t->holder.short_now = true;
+		t->holder.short_of_tokens = true;
 	while ((a = TAILQ_FIRST(&t->waiting)) != NULL && a->until_us <= now)
 		admission_end(a, false, token_wait_us(t, now));
 }
@@ -508,7 +508,7 @@
 		 LOG_NUM("rate_milli", t->bucket.rate * 1000),
 		 LOG_NUM("tokens_milli", t->bucket.tokens * 1000),
 		 LOG_NUM("whole_rate_milli", t->rate * 1000),
-		 LOG_NUM("part_permille", (int64_t)t->holder.units * 1000 / SHARE_WHOLE),
+		 LOG_NUM("part_permille", (int64_t)t->holder.units * 1000 / SHARE_TOTAL_UNITS),
 		 LOG_NUM("demand_milli", t->holder.demand * 1000),
 		 LOG_NUM("team_over", t->holder.over), LOG_NUM("waiting", t->n_waiting),
 		 LOG_NUM("listed", s->listed), LOG_NUM("fixed", t->fixed),
@@ -528,7 +528,7 @@
 		json_builder_set_member_name(b, "team");
 		json_builder_add_string_value(b, t->name);
 		json_builder_set_member_name(b, "part");
-		json_builder_add_double_value(b, (double)t->holder.units / SHARE_WHOLE);
+		json_builder_add_double_value(b, (double)t->holder.units / SHARE_TOTAL_UNITS);
 		json_builder_set_member_name(b, "demand");
 		json_builder_add_double_value(b, t->holder.demand);
 		json_builder_set_member_name(b, "waiting");
--- a/tests/harness-owner.c
+++ b/tests/harness-owner.c
@@ -347,7 +347,7 @@
 		{.name = "vm-9", .address = "127.0.0.1:2", .data_center = "dc"}};
 	struct peers *peers = &fleet_of(w->k)->peers;
 
-	peers_list(peers, 5, l, G_N_ELEMENTS(l));
+	peers_apply_list(peers, 5, l, G_N_ELEMENTS(l));
 	fleet_members_changed(fleet_of(w->k));
 	CU_ASSERT_STRING_EQUAL_FATAL(peers_holder(peers, "group " POOL, NULL)->name, "vm-9");
 	store_source.store = fake_create(w->k, "", 0);
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -406,7 +406,7 @@
 	       (double)(test_now_us() - start));
 	conf_update_clear(&u);
 	start = test_now_us();
-	page_cut(c, 1, "", SIZE_MAX, &page);
+	page_build(c, 1, "", SIZE_MAX, &page);
 	u = page.u;
 	printf("told to a peer as %u entry, found in %.0f us\n", u.entries->len,
 	       (double)(test_now_us() - start));
@@ -419,7 +419,7 @@
 	}
 	start = test_now_us();
 	peers_init(&p, "vm-0", l[0].address, l[0].data_center, 1);
-	peers_list(&p, 1, l, 3100);
+	peers_apply_list(&p, 1, l, 3100);
 	printf("3100 VMs: list taken in in %.1f ms, %ld KB of memory\n",
 	       (double)(test_now_us() - start) / 1000, memory_kb() - before);
 	start = test_now_us();
--- a/tests/test-bucket.c
+++ b/tests/test-bucket.c
@@ -15,7 +15,10 @@
 	CHECK(taken <= 1010 && taken >= 1009, "%u", taken);
 }
 
-/* A part that shrinks and grows must not bring tokens: what was given away was spent elsewhere. */
+/*
+ * Guards against a resize that creates tokens. When a VM's part of a team's burst shrinks and grows
+ * again, the tokens it gave up have been spent on other VMs.
+ */
 static void test_resize_makes_no_tokens(void)
 {
 	struct bucket b;
@@ -44,23 +47,26 @@
 	CU_ASSERT_TRUE(bucket_take(&b, 1, 101000));
 }
 
-/** Most operations that run in five seconds when all that is out at their begin comes back. */
+/**
+ * Run for two seconds in which each token is reserved and refunded after @a out_us, then for five
+ * seconds in which all tokens are spent. @return operations run in the five seconds
+ */
 static unsigned run_in_window(double rate, double burst, int64_t out_us)
 {
-	int64_t now, lent_at[8000];
+	int64_t now, reserved_at[8000];
 	unsigned n = 0, back = 0, run = 0;
 	struct bucket b;
 
 	bucket_init(&b, rate, burst, burst, 0);
-	/* Nothing runs: each token comes back after @out_us. */
+	/* No operation runs: each token is refunded after @a out_us. */
 	for (now = 1; now < 2 * USEC_PER_SEC; now += 1000) {
-		while (n < 8000 && bucket_lend(&b, now))
-			lent_at[n++] = now;
-		for (; back < n && now - lent_at[back] >= out_us; back++)
+		while (n < 8000 && bucket_reserve(&b, now))
+			reserved_at[n++] = now;
+		for (; back < n && now - reserved_at[back] >= out_us; back++)
 			bucket_settle(&b, true, now);
 	}
 	for (; now < 7 * USEC_PER_SEC; now += 1000) {
-		for (; back < n && now - lent_at[back] >= out_us; back++)
+		for (; back < n && now - reserved_at[back] >= out_us; back++)
 			bucket_settle(&b, true, now);
 		while (bucket_take(&b, 1, now))
 			run++;
@@ -69,9 +75,10 @@
 }
 
 /*
- * A group has no primary for seconds, and what its callers send is refused without having run; the
- * tokens come back, so that their teams' other operations are served. When the group is back all
- * tokens that were out are spent again: that must stay within what the users tolerate.
+ * Guards against exceeding the tolerated rate after a failover. While a group has no primary for
+ * seconds, its statements are refused without having run and their tokens are refunded, so that the
+ * team's other operations are served. Once the group is back, all refunded tokens may be spent at
+ * once.
  */
 static void test_returned_tokens_stay_within_the_tolerance(void)
 {
@@ -96,23 +103,23 @@
 	}
 }
 
-static void test_a_lent_token_comes_back_once(void)
+static void test_a_reserved_token_is_refunded_once(void)
 {
 	struct bucket b;
 
 	bucket_init(&b, 0, 2, 2, 0);
-	CU_ASSERT_TRUE(bucket_lend(&b, 0));
-	CU_ASSERT_TRUE(bucket_lend(&b, 0));
-	CU_ASSERT_FALSE(bucket_lend(&b, 0));
+	CU_ASSERT_TRUE(bucket_reserve(&b, 0));
+	CU_ASSERT_TRUE(bucket_reserve(&b, 0));
+	CU_ASSERT_FALSE(bucket_reserve(&b, 0));
 	bucket_settle(&b, false, 1);
 	CU_ASSERT_FALSE(bucket_take(&b, 1, 1));
 	bucket_settle(&b, true, 1);
 	bucket_settle(&b, true, 1);
 	CU_ASSERT_EQUAL(b.tokens, 1);
-	CU_ASSERT_EQUAL(b.out, 0);
+	CU_ASSERT_EQUAL(b.reserved, 0);
 }
 
-/* Tokens that are credited come on top of a full burst. */
+/* Guards against credited tokens that are added on top of a full burst. */
 static void test_credit_stays_within_the_burst(void)
 {
 	struct bucket b;
@@ -130,7 +137,7 @@
 	{"credit_stays_within_the_burst", test_credit_stays_within_the_burst},
 	{"returned_tokens_stay_within_the_tolerance",
 	 test_returned_tokens_stay_within_the_tolerance},
-	{"a_lent_token_comes_back_once", test_a_lent_token_comes_back_once},
+	{"a_reserved_token_is_refunded_once", test_a_reserved_token_is_refunded_once},
 	{"rate_and_burst", test_rate_and_burst},
 	{"resize_makes_no_tokens", test_resize_makes_no_tokens},
 	{"wait", test_wait},
--- a/tests/test-change.c
+++ b/tests/test-change.c
@@ -363,11 +363,11 @@
 	g->revision = 3;
 	g->record_loaded = true;
 	g->owner_lost = true;
-	peers_list(&fleet_of(w->k)->peers, 6,
-		   (const struct vm_listing[]){
-			   {.name = "vm-1", .address = SELF, .data_center = "dc"},
-			   {.name = "vm-9", .address = SELF, .data_center = "far"}},
-		   2);
+	peers_apply_list(&fleet_of(w->k)->peers, 6,
+			 (const struct vm_listing[]){
+				 {.name = "vm-1", .address = SELF, .data_center = "dc"},
+				 {.name = "vm-9", .address = SELF, .data_center = "far"}},
+			 2);
 	peers_suspect(&fleet_of(w->k)->peers, peers_find(&fleet_of(w->k)->peers, "vm-9"));
 }
 
--- a/tests/test-conf.c
+++ b/tests/test-conf.c
@@ -1,4 +1,4 @@
-/** @file test-conf.c Versions of the configuration, and the tables' files. */
+/** @file test-conf.c Configuration updates, table files, keys and settings. */
 #include "conf.h"
 #include "error.h"
 #include "harness.h"
@@ -49,8 +49,8 @@
 }
 
 /*
- * A VM wakes from a long pause and offers its old version: a withdrawn key or an old rate must not
- * come back.
+ * Guards against a configuration that reverts: a VM that resumes after a long pause offers its old
+ * version, and a withdrawn key or an old rate would be in force again.
  */
 static void test_never_reverts(void)
 {
@@ -60,7 +60,7 @@
 	add(&u, "team/t", 2, TEAM("99"));
 	CU_ASSERT_EQUAL(apply(c, u), CONF_OLD);
 	CU_ASSERT_EQUAL(conf_team(c, "t")->rate, 10);
-	/* An old entry inside a newer update is passed over too. */
+	/* An old entry in a newer update is ignored as well. */
 	u = update(3, 4, false);
 	add(&u, "team/t", 2, TEAM("99"));
 	CU_ASSERT_EQUAL(apply(c, u), CONF_APPLIED);
@@ -68,7 +68,10 @@
 	conf_free(c);
 }
 
-/* Guards against a peer that read an older copy of the store bringing an older document back. */
+/*
+ * Guards against the return of an older operators' document: a peer read an older copy of the store
+ * and offers its content under a higher version.
+ */
 static void test_an_older_document_is_refused(void)
 {
 	struct conf *c = with_team();
@@ -87,7 +90,7 @@
 	conf_free(c);
 }
 
-/* Guards against members that are told to leave for good by an evacuation that has ended. */
+/* Guards against members that stay marked as evacuated after the evacuation has ended. */
 static void test_evacuations_mark_members(void)
 {
 	const char *pool = "{\"name\":\"p\",\"member\":["
@@ -108,7 +111,9 @@
 	conf_free(c);
 }
 
-/* Guards against a peer that is told of an entry that is gone: changes must keep the order right.
+/*
+ * Guards against a sorted list that no longer matches the entries after in-place changes, so that a
+ * peer would be sent a removed entry or miss one.
  */
 static void test_sorted_entries_follow_changes(void)
 {
@@ -127,7 +132,7 @@
 		snprintf(id, sizeof(id), "team/t%d", rand() % 1500);
 		add(&u, id, version, rand() % 3 == 0 ? NULL : TEAM("5"));
 		CU_ASSERT_EQUAL(apply(c, u), CONF_APPLIED);
-		/* Sometimes built anew, mostly changed. */
+		/* The list is built anew in some rounds and changed in place in most. */
 		if (rand() % 50 == 0)
 			g_clear_pointer(&c->sorted, g_ptr_array_unref);
 		sorted = conf_sorted(c);
@@ -169,7 +174,7 @@
 	u = update(4, 5, false);
 	add(&u, "team/t", 5, NULL);
 	apply(c, u);
-	page_cut(c, 3, "", SIZE_MAX, &p);
+	page_build(c, 3, "", SIZE_MAX, &p);
 	u = p.u;
 	CU_ASSERT_FALSE(u.full);
 	CU_ASSERT_EQUAL(u.entries->len, 2);
@@ -177,8 +182,8 @@
 	CU_ASSERT_PTR_NULL(conf_team(peer, "t"));
 	CU_ASSERT_PTR_NOT_NULL(conf_team(peer, "u"));
 	CU_ASSERT_EQUAL(peer->version, 5);
-	/* From before what is remembered, all is told. */
-	page_cut(c, 1, "", SIZE_MAX, &p);
+	/* A peer older than the oldest known change is sent all entries. */
+	page_build(c, 1, "", SIZE_MAX, &p);
 	u = p.u;
 	CU_ASSERT_TRUE(u.full);
 	CU_ASSERT_EQUAL(u.entries->len, 1);
@@ -221,8 +226,8 @@
 }
 
 /*
- * Each wrong table is refused as a whole, with the file, the key, what was found and what is
- * allowed.
+ * Guards against tables that are accepted in part, and against unclear errors: each invalid table
+ * is refused as a whole, naming the file, the key, the value found and the allowed values.
  */
 static void test_wrong_tables(void)
 {
@@ -328,7 +333,7 @@
 	key_hash(text, hash);
 	CU_ASSERT_TRUE(key_hash_equal(hash, key.hash));
 	e = table_key_entry(&key);
-	/* Neither the key nor its secret part is in what is kept. */
+	/* The stored entry contains neither the key nor its secret part. */
 	CU_ASSERT_PTR_NULL(strstr(e->text, strrchr(text, '_') + 1));
 	conf_entry_unref(e);
 	CU_ASSERT_FALSE(key_id("mlk_", id, sizeof(id)));
@@ -382,7 +387,7 @@
 	g_free(message);
 }
 
-/* The two users' deployments, as the documents show them, are accepted whole. */
+/* Guards against example settings and tables that the parser no longer accepts. */
 static void test_examples_are_valid(void)
 {
 	static const char *const users[] = {"maison-ben-ammar", "llegadas-del-plata"};
--- a/tests/test-keep.c
+++ b/tests/test-keep.c
@@ -1,19 +1,20 @@
-/** @file test-keep.c Unused connections: what is opened anew, and what a successor finds free. */
+/** @file test-keep.c Idle connections: how many statements open one, and how many stay available.
+ */
 #include "harness.h"
 #include "keep.h"
 
 #include <stdio.h>
 
 #define STEP_US (1 * USEC_PER_MSEC)
-#define SECONDS 60
+#define DURATION_S 60
 #define HELD_MAX 256
 #define OPEN_US (12 * USEC_PER_MSEC)
 #define STATEMENT_US (12 * USEC_PER_MSEC)
-/** Transactions hold their connection while their callers think. */
+/** A transaction holds its connection between its statements, while its caller is busy. */
 #define TRANSACTION_US (120 * USEC_PER_MSEC)
 #define TRANSACTIONS_EACH 5
-/** The policy that keeps nothing beyond this. */
-#define SHORT_KEEP_US (700 * USEC_PER_MSEC)
+/** Age at which idle connections beyond the limit are closed. */
+#define IDLE_CLOSE_US (700 * USEC_PER_MSEC)
 
 struct load {
 	unsigned teams;
@@ -22,7 +23,7 @@
 	double per_s; /**< statements of one of these VMs */
 };
 
-struct got {
+struct result {
 	unsigned statements, opened;
 	unsigned most_used;
 	double held; /**< connections, on average */
@@ -39,7 +40,7 @@
 	return (double)(*state >> 11) / (double)(UINT64_C(1) << 53);
 }
 
-/** A few teams are large: the n-th sends 1/n of what the first does. */
+/** Picks a team by a Zipf distribution: the n-th team sends 1/n as much as the first. */
 static unsigned next_team(const struct load *l, uint64_t *seed)
 {
 	double at = next_random(seed), sum = 0, all = 0;
@@ -55,9 +56,9 @@
 struct run {
 	struct held held[HELD_MAX];
 	unsigned n;
-	struct keep_use use;
+	struct keep_usage use;
 	const struct load *load;
-	bool keeps;
+	bool use_limit;
 };
 
 static unsigned run_used(const struct run *r, int64_t now)
@@ -73,12 +74,12 @@
 {
 	unsigned used = run_used(r, now), keep = 0, unused = r->n - used, i;
 
-	keep_note(&r->use, used, now);
-	if (r->keeps)
-		keep = keep_unused(&(struct keep_member){.connections = r->load->connections,
-							 .slots = 2,
-							 .users = r->load->users,
-							 .most = keep_most(&r->use)});
+	keep_record_use(&r->use, used, now);
+	if (r->use_limit)
+		keep = keep_idle_limit(&(struct keep_member){.connections = r->load->connections,
+							     .slots = 2,
+							     .users = r->load->users,
+							     .most = keep_peak_use(&r->use)});
 	while (unused > keep) {
 		unsigned oldest = 0;
 
@@ -86,70 +87,77 @@
 			if (r->held[i].until_us < r->held[oldest].until_us)
 				oldest = i;
 		}
-		if (now - r->held[oldest].until_us <= SHORT_KEEP_US)
+		if (now - r->held[oldest].until_us <= IDLE_CLOSE_US)
 			return;
 		r->held[oldest] = r->held[--r->n];
 		unused--;
 	}
 }
 
-static void run_statement(struct run *r, unsigned team, int64_t us, int64_t now, struct got *got)
+static void run_statement(struct run *r, unsigned team, int64_t us, int64_t now,
+			  struct result *result)
 {
 	unsigned i;
 
-	got->statements++;
+	result->statements++;
 	for (i = 0; i < r->n && (r->held[i].team != team || r->held[i].until_us > now); i++)
 		;
 	if (i == r->n) {
-		got->opened++;
+		result->opened++;
 		us += OPEN_US;
 		r->held[r->n++].team = team;
 	}
 	r->held[i].until_us = now + us;
 }
 
-static void play(const struct load *l, bool keeps, struct got *got)
+static void simulate(const struct load *l, bool use_limit, struct result *result)
 {
-	struct run r = {.load = l, .keeps = keeps};
+	struct run r = {.load = l, .use_limit = use_limit};
 	uint64_t seed = 11;
 	int64_t now;
 
-	*got = (struct got){0};
-	for (now = 1; now < SECONDS * USEC_PER_SEC; now += STEP_US) {
+	*result = (struct result){0};
+	for (now = 1; now < DURATION_S * USEC_PER_SEC; now += STEP_US) {
 		unsigned used = run_used(&r, now);
 
 		run_close(&r, now);
-		got->most_used = MAX(got->most_used, used);
-		got->held += (double)r.n * STEP_US / (SECONDS * USEC_PER_SEC);
+		result->most_used = MAX(result->most_used, used);
+		result->held += (double)r.n * STEP_US / (DURATION_S * USEC_PER_SEC);
 		if (r.n < l->connections &&
 		    next_random(&seed) < l->per_s * STEP_US / USEC_PER_SEC) {
 			bool tx = next_random(&seed) < 1.0 / TRANSACTIONS_EACH;
 
 			run_statement(&r, next_team(l, &seed), tx ? TRANSACTION_US : STATEMENT_US,
-				      now, got);
+				      now, result);
 		}
 	}
 	printf("%u teams, %u connections, %s: %u statements, %u opened, %u used, %.1f held\n",
-	       l->teams, l->connections, keeps ? "kept" : "short", got->statements, got->opened,
-	       got->most_used, got->held);
+	       l->teams, l->connections, use_limit ? "kept" : "short", result->statements,
+	       result->opened, result->most_used, result->held);
 }
 
-/* Most statements open a connection, where many teams take turns. */
+/*
+ * Guards against opening a connection for most statements: with many teams that take turns, the
+ * connections of the others are closed before they are used again.
+ */
 static void test_many_teams_keep_their_connections(void)
 {
 	const struct load primary = {.teams = 190, .users = 1, .connections = 133, .per_s = 40};
 	const struct load replica = {.teams = 190, .users = 4, .connections = 133, .per_s = 14};
-	struct got kept, short_kept;
-
-	play(&primary, false, &short_kept);
-	play(&primary, true, &kept);
-	CU_ASSERT_TRUE(kept.opened * 2 < short_kept.opened);
-	play(&replica, false, &short_kept);
-	play(&replica, true, &kept);
-	CU_ASSERT_TRUE(kept.opened * 5 < short_kept.opened * 4);
+	struct result kept, zero_limit;
+
+	simulate(&primary, false, &zero_limit);
+	simulate(&primary, true, &kept);
+	CU_ASSERT_TRUE(kept.opened * 2 < zero_limit.opened);
+	simulate(&replica, false, &zero_limit);
+	simulate(&replica, true, &kept);
+	CU_ASSERT_TRUE(kept.opened * 5 < zero_limit.opened * 4);
 }
 
-/* Too few connections are left while the member still counts those of VMs that lost their power. */
+/*
+ * Guards against VMs that find no connection after a power loss: the member still counts the
+ * connections of the lost VMs, so the idle ones must leave enough for the VMs that take over.
+ */
 static void test_successors_find_connections(void)
 {
 	const struct load loads[] = {
@@ -157,49 +165,54 @@
 		{.teams = 190, .users = 4, .connections = 133, .per_s = 14},
 		{.teams = 60, .users = 2, .connections = 62, .per_s = 30},
 	};
-	struct got kept;
+	struct result kept;
 	unsigned i;
 
 	for (i = 0; i < G_N_ELEMENTS(loads); i++) {
 		double left;
 
-		play(&loads[i], true, &kept);
+		simulate(&loads[i], true, &kept);
 		left = loads[i].connections - kept.held * loads[i].users;
 		CHECK(left >= loads[i].users * kept.most_used, "load %u: %f left", i, left);
 	}
 }
 
-/* Connections of few teams rest for long where a member accepts few. */
+/*
+ * Guards against idle connections of few teams that stay open on a member that accepts few, so that
+ * others are refused.
+ */
 static void test_few_connections_are_given_back(void)
 {
 	const struct load replica = {.teams = 8, .users = 2, .connections = 14, .per_s = 15};
-	struct got kept, short_kept;
+	struct result kept, zero_limit;
 
-	play(&replica, false, &short_kept);
-	play(&replica, true, &kept);
-	CHECK(kept.held <= short_kept.held + 1, "%f held", kept.held);
+	simulate(&replica, false, &zero_limit);
+	simulate(&replica, true, &kept);
+	CHECK(kept.held <= zero_limit.held + 1, "%f held", kept.held);
 }
 
-/* A busy moment's connections are given away right after it. */
-static void test_the_most_in_use_is_remembered_for_a_while(void)
+/*
+ * Guards against closing connections right after a short peak: the peak must count for one more
+ * window, and no longer.
+ */
+static void test_peak_use_counts_for_one_more_window(void)
 {
-	struct keep_use u = {0};
-
-	keep_note(&u, 9, 1 * USEC_PER_SEC);
-	keep_note(&u, 1, 6 * USEC_PER_SEC);
-	CU_ASSERT_EQUAL(keep_most(&u), 9);
-	keep_note(&u, 1, 12 * USEC_PER_SEC);
-	CU_ASSERT_EQUAL(keep_most(&u), 1);
-	keep_note(&u, 7, 13 * USEC_PER_SEC);
-	keep_note(&u, 2, 60 * USEC_PER_SEC);
-	CU_ASSERT_EQUAL(keep_most(&u), 2);
+	struct keep_usage u = {0};
+
+	keep_record_use(&u, 9, 1 * USEC_PER_SEC);
+	keep_record_use(&u, 1, 6 * USEC_PER_SEC);
+	CU_ASSERT_EQUAL(keep_peak_use(&u), 9);
+	keep_record_use(&u, 1, 12 * USEC_PER_SEC);
+	CU_ASSERT_EQUAL(keep_peak_use(&u), 1);
+	keep_record_use(&u, 7, 13 * USEC_PER_SEC);
+	keep_record_use(&u, 2, 60 * USEC_PER_SEC);
+	CU_ASSERT_EQUAL(keep_peak_use(&u), 2);
 }
 
 static const struct test_case cases[] = {
 	{"many_teams_keep_their_connections", test_many_teams_keep_their_connections},
 	{"successors_find_connections", test_successors_find_connections},
 	{"few_connections_are_given_back", test_few_connections_are_given_back},
-	{"the_most_in_use_is_remembered_for_a_while",
-	 test_the_most_in_use_is_remembered_for_a_while},
+	{"peak_use_counts_for_one_more_window", test_peak_use_counts_for_one_more_window},
 };
 HARNESS_MAIN("keep", cases)
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -272,7 +272,7 @@
 	world_open(&w);
 	g = owner_group_find(w.o, POOL);
 	peers = &fleet_of(w.k)->peers;
-	peers_list(peers, 5, l, G_N_ELEMENTS(l));
+	peers_apply_list(peers, 5, l, G_N_ELEMENTS(l));
 	g_strlcpy(g->record.owner.name, "vm-2", sizeof(g->record.owner.name));
 	g_strlcpy(g->record.address, "127.0.0.1:2", sizeof(g->record.address));
 	g->record.owner.incarnation = 9;
@@ -281,7 +281,7 @@
 	peers_suspect(peers, peers_find(peers, "vm-2"));
 	claim_tick(g, now_us());
 	CU_ASSERT_TRUE(g->owner_lost);
-	peers_heard(peers_find(peers, "vm-2"), 9, 1);
+	peers_record_contact(peers_find(peers, "vm-2"), 9, 1);
 	claim_tick(g, now_us());
 	CU_ASSERT_STRING_EQUAL(owner_address(w.o, POOL, &known), "127.0.0.1:2");
 	CU_ASSERT_TRUE(known);
@@ -578,7 +578,7 @@
 	world_open(&w);
 	g = world_join(&w);
 	peers = &fleet_of(w.k)->peers;
-	peers_list(peers, 29, l, G_N_ELEMENTS(l));
+	peers_apply_list(peers, 29, l, G_N_ELEMENTS(l));
 	store_source.listeners[0].cb(&item, w.o);
 	fake.store_revision = item.revision;
 	g->invited = true;
@@ -593,7 +593,7 @@
 	g = world_join(&w);
 	peers = &fleet_of(w.k)->peers;
 	l[1].incarnation = 6;
-	peers_list(peers, 31, l, G_N_ELEMENTS(l));
+	peers_apply_list(peers, 31, l, G_N_ELEMENTS(l));
 	store_source.listeners[0].cb(&item, w.o);
 	fake.store_revision = item.revision;
 	g->invited = true;
--- a/tests/test-page.c
+++ b/tests/test-page.c
@@ -1,4 +1,4 @@
-/** @file test-page.c A configuration in pages, and how soon a large fleet has a large one. */
+/** @file test-page.c Paged transfer of a configuration, and its duration in a large fleet. */
 #include "harness.h"
 #include "page.h"
 
@@ -7,34 +7,34 @@
 
 static uint64_t seed = 5;
 
-static unsigned pick(unsigned n)
+static unsigned random_below(unsigned n)
 {
 	seed = seed * UINT64_C(6364136223846793005) + UINT64_C(1442695040888963407);
 	return (unsigned)((seed >> 33) % n);
 }
 
-/* Putting together */
+/* Assembling the pages */
 
 #define IDS 40
 #define SENDERS 3
 
-/** A change of the next version: some entries are set, and some removed. */
+/** Make a random update with a higher version that sets some entries and removes others. */
 static void change(struct conf *c, struct conf_update *u)
 {
-	unsigned i, n = 1 + pick(6);
+	unsigned i, n = 1 + random_below(6);
 
 	u->base = c->version;
-	u->version = c->version + 1 + pick(3);
+	u->version = c->version + 1 + random_below(3);
 	u->full = false;
 	u->entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
 	for (i = 0; i < n; i++) {
 		char id[16], text[16];
 
-		/* No entry twice in one change. */
-		g_snprintf(id, sizeof(id), "team/%u", i * (IDS / 8) + pick(IDS / 8));
-		g_snprintf(text, sizeof(text), "%u", pick(1000));
-		g_ptr_array_add(u->entries,
-				conf_entry_create(id, u->version, pick(4) > 0 ? text : NULL));
+		/* Each entry occurs once in an update. */
+		g_snprintf(id, sizeof(id), "team/%u", i * (IDS / 8) + random_below(IDS / 8));
+		g_snprintf(text, sizeof(text), "%u", random_below(1000));
+		g_ptr_array_add(u->entries, conf_entry_create(id, u->version,
+							      random_below(4) > 0 ? text : NULL));
 	}
 }
 
@@ -56,17 +56,17 @@
 	return true;
 }
 
-/** Apply all that @a behind lacks, in one page. */
+/** Bring @a behind up to the version of @a newest with a single page. */
 static void bring_up(struct conf *behind, struct conf *newest)
 {
 	struct page p;
 
-	page_cut(newest, behind->version, "", SIZE_MAX, &p);
+	page_build(newest, behind->version, "", SIZE_MAX, &p);
 	conf_apply(behind, &p.u);
 	conf_update_clear(&p.u);
 }
 
-/** Bring @a conf up to date by pages of several senders, which change meanwhile. */
+/** Fetch pages into @a conf from several senders, whose configuration changes meanwhile. */
 static void fetch(struct conf *conf, struct conf *const *senders, struct conf *newest)
 {
 	struct page_fetch f = {0};
@@ -74,30 +74,33 @@
 	struct conf_update u;
 	unsigned tries;
 
-	for (tries = 0; v != PAGE_WHOLE && tries < 2000; tries++) {
-		struct conf *from = tries < 500 ? senders[pick(SENDERS)] : newest;
+	for (tries = 0; v != PAGE_COMPLETE && tries < 2000; tries++) {
+		struct conf *from = tries < 500 ? senders[random_below(SENDERS)] : newest;
 		struct page p;
 
-		if (tries < 300 && pick(4) == 0) {
+		if (tries < 300 && random_below(4) == 0) {
 			change(newest, &u);
 			CU_ASSERT_EQUAL(conf_apply(newest, &u), CONF_APPLIED);
 			conf_update_clear(&u);
 		}
-		if (pick(3) == 0)
-			bring_up(senders[pick(SENDERS)], newest);
+		if (random_below(3) == 0)
+			bring_up(senders[random_below(SENDERS)], newest);
 		page_fetch_begin(&f, conf->version);
-		page_cut(from, f.base, f.after, 20, &p);
+		page_build(from, f.base, f.after, 20, &p);
 		if (p.u.version > conf->version)
-			v = page_fetch_take(&f, &p);
+			v = page_fetch_add(&f, &p);
 		conf_update_clear(&p.u);
 	}
-	CU_ASSERT_EQUAL_FATAL(v, PAGE_WHOLE);
+	CU_ASSERT_EQUAL_FATAL(v, PAGE_COMPLETE);
 	page_fetch_end(&f, &u);
 	CU_ASSERT_EQUAL(conf_apply(conf, &u), CONF_APPLIED);
 	conf_update_clear(&u);
 }
 
-/* A VM is left with a mixture of versions, which no operator ever wrote. */
+/*
+ * Guards against a mixture of versions on a VM: it fetches pages of one version from one sender and
+ * of other versions from others, and assembles a configuration that no operator ever wrote.
+ */
 static void test_pages_of_changing_senders_make_one_version(void)
 {
 	unsigned run, i;
@@ -116,7 +119,7 @@
 			conf_update_clear(&u);
 		}
 		fetch(conf, senders, newest);
-		/* Up to date from there it is what the newest is. */
+		/* One update later, the configuration equals the newest. */
 		bring_up(conf, newest);
 		CU_ASSERT_TRUE(same(conf, newest));
 		for (i = 0; i < SENDERS; i++)
@@ -126,7 +129,8 @@
 	}
 }
 
-/* A VM's heartbeats wait behind the pages that it sends to all who ask. */
+/* Guards against heartbeats that are delayed behind pages which a VM sends to many peers at once.
+ */
 static void test_a_vm_sends_to_few_peers_at_a_time(void)
 {
 	struct page_peers p = {0};
@@ -138,11 +142,11 @@
 	CU_ASSERT_TRUE(page_peer_admit(&p, 1, 3));
 	page_peer_done(&p, 1);
 	CU_ASSERT_TRUE(page_peer_admit(&p, conn, 4));
-	/* Those that ask no more make room. */
+	/* The slot of a peer that sends no further request is reused. */
 	CU_ASSERT_TRUE(page_peer_admit(&p, 99, 5 * USEC_PER_SEC));
 }
 
-/* The load: a fleet on narrow links, to which an operator gives a large configuration */
+/* Simulation: a fleet on narrow links receives a large configuration */
 
 #define VMS 300
 #define SOURCES 10
@@ -150,31 +154,32 @@
 #define PAGE_BYTES 131072.0
 #define LINK_BYTES_PER_S 1250000.0
 #define STEP_MS 10
-#define CONTACT_MS 170
-#define IN_FORCE_MS 6000
-/** The default of the settings: an answer that is later is a miss. */
+#define CONTACT_INTERVAL_MS 170
+#define APPLY_DEADLINE_MS 6000
+/** Default of the settings: a later answer to a heartbeat counts as missed. */
 #define HEARTBEAT_S 0.5
 
 struct vm {
-	double got;
+	double received;
 	int from; /**< VM that sends to it, or -1 */
 	struct page_peers peers;
 	unsigned sends;
 };
 
-/** When @a v has all, it contacts others; those without ask it for pages. */
+/** A VM with the complete configuration contacts a random one, which then requests pages if needed.
+ */
 static void contact(struct vm *vms, unsigned v, int64_t now_us)
 {
-	unsigned other = pick(VMS);
+	unsigned other = random_below(VMS);
 
-	if (vms[v].got < CONF_BYTES || vms[other].got >= CONF_BYTES || vms[other].from >= 0 ||
-	    !page_peer_admit(&vms[v].peers, other + 1, now_us))
+	if (vms[v].received < CONF_BYTES || vms[other].received >= CONF_BYTES ||
+	    vms[other].from >= 0 || !page_peer_admit(&vms[v].peers, other + 1, now_us))
 		return;
 	vms[other].from = (int)v;
 	vms[v].sends++;
 }
 
-/* A configuration is in force on some VMs only after its deadline, or never. */
+/* Guards against a configuration that takes effect on some VMs after its deadline, or never. */
 static void test_a_large_configuration_reaches_all_in_time(void)
 {
 	static struct vm vms[VMS];
@@ -183,7 +188,7 @@
 	memset(vms, 0, sizeof(vms));
 	for (v = 0; v < VMS; v++) {
 		vms[v].from = -1;
-		vms[v].got = v < SOURCES ? CONF_BYTES : 0;
+		vms[v].received = v < SOURCES ? CONF_BYTES : 0;
 	}
 	for (ms = 0; have < VMS && ms < 60000; ms += STEP_MS) {
 		int64_t now_us = ms * USEC_PER_MSEC + 1;
@@ -193,14 +198,14 @@
 			struct vm *at = &vms[v];
 			struct vm *from = at->from >= 0 ? &vms[at->from] : NULL;
 
-			have += at->got >= CONF_BYTES ? 1 : 0;
-			if (at->got >= CONF_BYTES && ms % CONTACT_MS < STEP_MS)
+			have += at->received >= CONF_BYTES ? 1 : 0;
+			if (at->received >= CONF_BYTES && ms % CONTACT_INTERVAL_MS < STEP_MS)
 				contact(vms, v, now_us);
 			if (from == NULL)
 				continue;
-			at->got += LINK_BYTES_PER_S * STEP_MS / 1000 / from->sends;
+			at->received += LINK_BYTES_PER_S * STEP_MS / 1000 / from->sends;
 			page_peer_admit(&from->peers, v + 1, now_us);
-			if (at->got < CONF_BYTES)
+			if (at->received < CONF_BYTES)
 				continue;
 			page_peer_done(&from->peers, v + 1);
 			from->sends--;
@@ -208,8 +213,8 @@
 		}
 	}
 	printf("%d VMs have %d KB after %u ms\n", VMS, (int)(CONF_BYTES / 1000), ms);
-	CU_ASSERT_TRUE(ms < IN_FORCE_MS);
-	/* What waits before a heartbeat on the sender's link. */
+	CU_ASSERT_TRUE(ms < APPLY_DEADLINE_MS);
+	/* Time that a heartbeat waits behind pages on the sender's link. */
 	CU_ASSERT_TRUE(PAGE_PEERS_MAX * PAGE_BYTES / LINK_BYTES_PER_S < HEARTBEAT_S);
 }
 
--- a/tests/test-part.c
+++ b/tests/test-part.c
@@ -1,14 +1,14 @@
-/** @file test-part.c Fixed parts of small teams' rates. */
+/** @file test-part.c Fixed parts of a team's rate. */
 #include "harness.h"
 #include "part.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/** What the users of both deployments tolerate. */
+/** Tolerance that both user deployments state. */
 static const struct share_tolerance tolerance = {.window_s = 5, .overshoot = 0.1, .slack = 20};
 
-/** Split the rate of a team that is one of @a vms that are alike, one for each VM. */
+/** Split the rate of a team in a fleet with as many equal teams as VMs. */
 static bool split(double rate, double burst, unsigned data_centers, unsigned vms,
 		  const struct share_tolerance *t, struct part_split *s)
 {
@@ -23,7 +23,10 @@
 	return (s->rate * tolerance.window_s + s->burst) * s->per_dc * data_centers;
 }
 
-/* All parts together, full and spent at their rate for a window, stay within the tolerance. */
+/*
+ * Guards against exceeding the tolerated rate: all parts start full and are spent at their rate for
+ * a whole window.
+ */
 static void test_parts_stay_within_the_tolerance(void)
 {
 	unsigned dcs, vms;
@@ -47,7 +50,10 @@
 	}
 }
 
-/* One data centre alone serves what its callers usually send: their part of three fifths. */
+/*
+ * Guards against refused requests in a partitioned data centre. Alone, it must serve its callers'
+ * usual load: a fifth of three fifths of the rate, with a margin.
+ */
 static void test_a_cut_off_data_center_serves_its_callers(void)
 {
 	struct part_split s;
@@ -59,9 +65,9 @@
 }
 
 /*
- * A cut-off data centre refuses a small team's requests for as long as the cut lasts: the one VM
- * that held the team's tokens there had just been stopped. There are two, unless so many tokens of
- * burst would leave too little rate.
+ * Guards against a partitioned data centre that refuses all requests of a small team until the
+ * partition ends, because the only VM with the team's tokens there had just been stopped. A team
+ * has two parts in each data centre, unless their minimum burst would leave too little rate.
  */
 static void test_a_small_team_has_two_parts_in_each_data_center(void)
 {
@@ -75,7 +81,10 @@
 	CU_ASSERT_EQUAL(s.per_dc, 1);
 }
 
-/* One VM more has all VMs of a large fleet report each team's rate to its allocator. */
+/*
+ * Guards against a fleet size at which one more VM switches teams from fixed parts to dynamic
+ * shares, so that all VMs of a large fleet report to each team's allocator.
+ */
 static void test_a_large_fleet_keeps_fixed_parts(void)
 {
 	struct part_fleet f = {.data_centers = 4, .all_rates = 2600};
@@ -86,10 +95,11 @@
 }
 
 /*
- * In a fleet so large that a few VMs of a data centre cannot answer for all others, a team that can
- * have a part on each VM is left to share.h, and so is one without any tolerance.
+ * Guards against fixed parts where they can't work: in a fleet so large that the holders of parts
+ * can't serve all requests, a team whose rate allows a part on each VM uses dynamic shares
+ * (share.h). So does a team without tolerance, which could not be divided within its limit.
  */
-static void test_large_teams_and_strict_rates_are_moved(void)
+static void test_large_teams_and_strict_rates_get_no_fixed_parts(void)
 {
 	const struct share_tolerance none = {0};
 	struct part_split s;
@@ -102,7 +112,7 @@
 	CU_ASSERT_FALSE(split(0, 8, 5, 81, &tolerance, &s));
 }
 
-static void test_a_team_has_as_many_parts_as_it_says(void)
+static void test_a_team_has_tokens_in_per_dc_parts(void)
 {
 	struct part_split s = {.per_dc = 1};
 
@@ -115,9 +125,9 @@
 	}
 }
 
-static void test_near_places_are_asked_first(void)
+static void test_local_candidates_are_asked_first(void)
 {
-	struct part_place p[4] = {
+	struct part_candidate p[4] = {
 		{"a", false, false}, {"b", true, false}, {"c", true, false}, {NULL, true, false}};
 	unsigned salt;
 	bool b = false, c = false;
@@ -137,45 +147,48 @@
 }
 
 /*
- * A team asks for twice its rate for half a minute. Its VMs asked all others for tokens after each
- * refusal, and others' requests waited behind the answers that there are none. Now one far place is
- * asked in 300 ms and VM, near ones as before; a team within its rate asks wherever tokens are.
+ * Guards against a flood of token requests between data centres. When a team requested twice its
+ * rate for half a minute, each VM asked all candidates after each refusal, and requests of other
+ * teams were delayed behind them. A VM may ask one remote candidate per 300 ms, and local ones
+ * without limit; a team within its rate may ask any candidate.
  */
-static void test_a_team_over_its_rate_asks_few_far_places(void)
+static void test_a_team_over_its_rate_asks_few_remote_candidates(void)
 {
-	struct part_place p[] = {{"a", false, false}, {"b", true, false}, {"c", false, false}};
+	struct part_candidate p[] = {{"a", false, false}, {"b", true, false}, {"c", false, false}};
 	int64_t tried_us = -USEC_PER_SEC, now;
-	unsigned near = 0, far = 0;
+	unsigned n_local = 0, n_remote = 0;
 
 	for (now = 0; now < 30 * USEC_PER_SEC; now += 50 * USEC_PER_MSEC) {
-		bool ask_far;
+		bool ask_remote;
 		int at;
 
 		p[0].tried = p[1].tried = p[2].tried = false;
-		while (ask_far = part_ask_far(false, tried_us, now),
-		       (at = part_choose(p, 3, 0, ask_far)) >= 0) {
+		while (ask_remote = part_may_ask_remote(false, tried_us, now),
+		       (at = part_choose(p, 3, 0, ask_remote)) >= 0) {
 			p[at].tried = true;
-			near += p[at].near ? 1 : 0;
-			far += p[at].near ? 0 : 1;
+			n_local += p[at].near ? 1 : 0;
+			n_remote += p[at].near ? 0 : 1;
 			if (!p[at].near)
 				tried_us = now;
 		}
 	}
-	CU_ASSERT_EQUAL(near, 600);
-	CHECK(far <= 101 && far >= 90, "%u", far);
+	CU_ASSERT_EQUAL(n_local, 600);
+	CHECK(n_remote <= 101 && n_remote >= 90, "%u", n_remote);
 	p[0].tried = p[2].tried = false;
-	CU_ASSERT_EQUAL(part_choose(p, 3, 0, part_ask_far(true, now, now)), 0);
+	CU_ASSERT_EQUAL(part_choose(p, 3, 0, part_may_ask_remote(true, now, now)), 0);
 }
 
 static const struct test_case cases[] = {
 	{"a_large_fleet_keeps_fixed_parts", test_a_large_fleet_keeps_fixed_parts},
-	{"a_team_over_its_rate_asks_few_far_places", test_a_team_over_its_rate_asks_few_far_places},
+	{"a_team_over_its_rate_asks_few_remote_candidates",
+	 test_a_team_over_its_rate_asks_few_remote_candidates},
 	{"parts_stay_within_the_tolerance", test_parts_stay_within_the_tolerance},
 	{"a_cut_off_data_center_serves_its_callers", test_a_cut_off_data_center_serves_its_callers},
 	{"a_small_team_has_two_parts_in_each_data_center",
 	 test_a_small_team_has_two_parts_in_each_data_center},
-	{"large_teams_and_strict_rates_are_moved", test_large_teams_and_strict_rates_are_moved},
-	{"a_team_has_as_many_parts_as_it_says", test_a_team_has_as_many_parts_as_it_says},
-	{"near_places_are_asked_first", test_near_places_are_asked_first},
+	{"large_teams_and_strict_rates_get_no_fixed_parts",
+	 test_large_teams_and_strict_rates_get_no_fixed_parts},
+	{"a_team_has_tokens_in_per_dc_parts", test_a_team_has_tokens_in_per_dc_parts},
+	{"local_candidates_are_asked_first", test_local_candidates_are_asked_first},
 };
 HARNESS_MAIN("part", cases)
--- a/tests/test-share.c
+++ b/tests/test-share.c
@@ -1,4 +1,4 @@
-/** @file test-share.c Parts of a team's rate: their sum never passes the whole. */
+/** @file test-share.c Dynamic shares of a team's rate, whose sum never exceeds the whole. */
 #include "harness.h"
 #include "share.h"
 
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define VMS 5
-#define STEP (50 * USEC_PER_MSEC)
+#define STEP_US (50 * USEC_PER_MSEC)
 
 static const char *const names[VMS] = {"vm1", "vm2", "vm3", "vm4", "vm5"};
 
@@ -40,7 +40,7 @@
 	}
 }
 
-static void test_whole_is_given_out(void)
+static void test_all_units_are_handed_out(void)
 {
 	struct share_holder h[VMS];
 	struct share_alloc a;
@@ -49,15 +49,15 @@
 
 	setup(h, &a, 1, now);
 	for (round = 0; round < 10; round++) {
-		now += STEP;
+		now += STEP_US;
 		for (i = 0; i < VMS; i++)
 			exchange(&h[i], &a, i, now);
 	}
-	CHECK(sum(h) > SHARE_WHOLE * 0.98 && sum(h) <= SHARE_WHOLE, "%lu", sum(h));
+	CHECK(sum(h) > SHARE_TOTAL_UNITS * 0.98 && sum(h) <= SHARE_TOTAL_UNITS, "%lu", sum(h));
 	share_alloc_clear(&a);
 }
 
-/** Twenty requests each step arrive at one VM, then at another one: 400 a second. */
+/** Send 400 requests per second, 20 per step, to one VM and later to another one. */
 static void demand_moves(double rate, uint32_t least)
 {
 	struct share_holder h[VMS];
@@ -68,12 +68,12 @@
 	setup(h, &a, 1, now);
 	a.rate = rate;
 	for (round = 0; round < 80; round++) {
-		now += STEP;
+		now += STEP_US;
 		for (j = 0; j < 20; j++)
 			share_holder_arrival(&h[round < 40 ? 1 : 3], true, now);
 		for (i = 0; i < VMS; i++)
 			exchange(&h[i], &a, i, now);
-		CHECK(sum(h) <= SHARE_WHOLE, "%lu", sum(h));
+		CHECK(sum(h) <= SHARE_TOTAL_UNITS, "%lu", sum(h));
 		if (round == 39)
 			CHECK(h[1].units > least, "%u of %u", h[1].units, least);
 	}
@@ -82,25 +82,27 @@
 }
 
 /*
- * Above the rate the parts follow demand, but for the floor (5%) and the allocator's reserve (10%).
+ * Guards against units that stay where they are when demand moves to another VM. With demand above
+ * the rate, the units follow it, except for the floor (5%) and the allocator's reserve (10%).
  */
 static void test_follows_demand(void)
 {
-	demand_moves(300, (uint32_t)(SHARE_WHOLE * 0.75));
+	demand_moves(300, (uint32_t)(SHARE_TOTAL_UNITS * 0.75));
 }
 
 /*
- * Below the rate, the VM that has all the demand has at least what it asks for, and the others
- * something left.
+ * Guards against a VM that gets less than its demand although the team is below its rate. The VM
+ * with all the demand must have at least enough for it, and the unused units go to the
+ * others.
  */
-static void test_has_what_it_asks_for(void)
+static void test_demand_below_the_rate_is_covered(void)
 {
-	demand_moves(1000, (uint32_t)(SHARE_WHOLE * 0.4));
+	demand_moves(1000, (uint32_t)(SHARE_TOTAL_UNITS * 0.4));
 }
 
 /*
- * One VM is silent from the start: nobody knows what it was given, so nothing is handed out on top
- * of what is held.
+ * Guards against units that are handed out twice: one VM never reports, so the units that it may
+ * hold are unknown, and the allocator must distribute none beyond those reported.
  */
 static void test_incomplete_census_gives_nothing_new(void)
 {
@@ -111,27 +113,28 @@
 
 	setup(h, &a, 1, now);
 	for (round = 0; round < 10; round++) {
-		now += STEP;
+		now += STEP_US;
 		for (i = 0; i < VMS - 1; i++)
 			exchange(&h[i], &a, i, now);
 	}
 	CU_ASSERT_EQUAL(sum(h), 0);
-	/* The platform lists it as gone: after the grace, the whole is the others'. */
+	/* It leaves the platform's list: after the grace period, the others get all units. */
 	share_alloc_listed(&a, names, VMS - 1, now);
-	now += SHARE_GONE_US + STEP;
-	for (round = 0; round < 10; round++, now += STEP) {
+	now += SHARE_DELIST_GRACE_US + STEP_US;
+	for (round = 0; round < 10; round++, now += STEP_US) {
 		for (i = 0; i < VMS - 1; i++)
 			exchange(&h[i], &a, i, now);
 	}
-	CHECK(sum(h) > SHARE_WHOLE * 0.98, "%lu", sum(h));
+	CHECK(sum(h) > SHARE_TOTAL_UNITS * 0.98, "%lu", sum(h));
 	share_alloc_clear(&a);
 }
 
 /*
- * Five VMs see a few requests each, at different moments: the peaks add up to more than the rate,
- * the team does not.
+ * Guards against a team that counts as over its rate because of its peaks: five VMs receive a few
+ * requests each at different times, so that the sum of their peaks exceeds the rate, but the team's
+ * demand does not.
  */
-static void test_peaks_are_not_the_team(void)
+static void test_alternating_peaks_do_not_count_as_over_rate(void)
 {
 	struct share_holder h[VMS];
 	struct share_alloc a;
@@ -140,18 +143,18 @@
 
 	setup(h, &a, 1, now);
 	a.rate = 40;
-	for (round = 0; round < 200; round++, now += STEP) {
+	for (round = 0; round < 200; round++, now += STEP_US) {
 		if (round % 2 == 0)
 			share_holder_arrival(&h[round / 2 % VMS], true, now);
 		for (i = 0; i < VMS; i++) {
 			exchange(&h[i], &a, i, now);
-			CHECK(share_holder_hopeful(&h[i]), "over at round %d", round);
+			CHECK(share_holder_within_rate(&h[i]), "over at round %d", round);
 		}
 	}
 	share_alloc_clear(&a);
 }
 
-static void test_paused_holder_gives_up(void)
+static void test_paused_holder_gives_up_units(void)
 {
 	struct share_holder h = {.units = 5};
 
@@ -164,21 +167,21 @@
 {
 	struct share_holder h = {.epoch = 5, .seq = 7, .units = 100};
 	struct share_order late = {.epoch = 5, .seq = 6, .units = 900};
-	struct share_order former = {.epoch = 4, .seq = 99, .units = 900};
+	struct share_order previous = {.epoch = 4, .seq = 99, .units = 900};
 	struct share_order newer = {.epoch = 6, .seq = 1, .units = 900};
 
 	CU_ASSERT_FALSE(share_holder_order(&h, &late, 0));
-	CU_ASSERT_FALSE(share_holder_order(&h, &former, 0));
+	CU_ASSERT_FALSE(share_holder_order(&h, &previous, 0));
 	CU_ASSERT_FALSE(share_holder_order(&h, &newer, 0));
 	CU_ASSERT_EQUAL(h.units, 100);
 	CU_ASSERT_EQUAL(h.epoch, 6);
 }
 
 /*
- * A VM that leaves gives up its units first and tells then. A new allocator needs no report of it,
- * although the platform still lists it.
+ * Guards against units that stay unused after a VM left: it gives up its units before it announces
+ * that it leaves, so a new allocator needs no report from it, although it is still on the list.
  */
-static void test_leaving_holder_hands_over(void)
+static void test_units_of_a_leaving_holder_are_reassigned(void)
 {
 	struct share_holder h[VMS];
 	struct share_alloc a[2];
@@ -186,7 +189,7 @@
 	int round, i;
 
 	setup(h, a, 2, now);
-	for (round = 0; round < 20; round++, now += STEP) {
+	for (round = 0; round < 20; round++, now += STEP_US) {
 		if (round == 10) {
 			share_holder_leave(&h[0]);
 			share_alloc_left(&a[1], names[0], now);
@@ -195,15 +198,16 @@
 			exchange(&h[i], &a[round < 10 ? 0 : 1], i, now);
 	}
 	CU_ASSERT_EQUAL(h[0].units, 0);
-	CHECK(sum(h) > SHARE_WHOLE * 0.98 && sum(h) <= SHARE_WHOLE, "%lu", sum(h));
+	CHECK(sum(h) > SHARE_TOTAL_UNITS * 0.98 && sum(h) <= SHARE_TOTAL_UNITS, "%lu", sum(h));
 	share_alloc_clear(&a[0]);
 	share_alloc_clear(&a[1]);
 }
 
 /*
- * A burst of one token split over five VMs would serve nobody: the allocator's VM keeps it whole.
+ * Guards against a burst of one token that is split over five VMs and then admits no request. The
+ * allocator's VM keeps it undivided.
  */
-static void test_small_burst_is_kept_whole(void)
+static void test_small_burst_is_not_split(void)
 {
 	struct share_holder h[VMS];
 	struct share_alloc a;
@@ -212,15 +216,15 @@
 
 	setup(h, &a, 1, now);
 	a.burst = 1;
-	for (round = 0; round < 10; round++, now += STEP) {
+	for (round = 0; round < 10; round++, now += STEP_US) {
 		for (i = 0; i < VMS; i++)
 			exchange(&h[i], &a, i, now);
 	}
-	CU_ASSERT_EQUAL(h[0].units, SHARE_WHOLE);
+	CU_ASSERT_EQUAL(h[0].units, SHARE_TOTAL_UNITS);
 	share_alloc_clear(&a);
 }
 
-struct flying {
+struct message_in_transit {
 	int vm;
 	bool answer;
 	int alloc;
@@ -229,12 +233,13 @@
 };
 
 /*
- * Two allocators at once, each thought right by some holders; reports and orders are lost, repeated
- * and come in any order; holders restart. At no moment may the parts pass the whole.
+ * Random run with two concurrent allocators, each obeyed by some holders. Reports and orders are
+ * lost, duplicated and reordered, and holders restart. The sum of units must never exceed the
+ * total.
  */
 static void random_run(unsigned seed)
 {
-	struct flying air[64];
+	struct message_in_transit in_transit[64];
 	unsigned n = 0, step;
 	struct share_holder h[VMS];
 	struct share_alloc a[2];
@@ -249,22 +254,22 @@
 		now += 10 * USEC_PER_MSEC;
 		share_holder_arrival(&h[vm], rand() % 2, now);
 		if (n < 60 && rand() % 2) {
-			air[n].vm = vm;
-			air[n].answer = false;
-			air[n].alloc = rand() % 8 == 0 ? rand() % 2 : (int)(step / 500 % 2);
-			air[n].r = share_holder_report(&h[vm], now);
+			in_transit[n].vm = vm;
+			in_transit[n].answer = false;
+			in_transit[n].alloc = rand() % 8 == 0 ? rand() % 2 : (int)(step / 500 % 2);
+			in_transit[n].r = share_holder_report(&h[vm], now);
 			n++;
 		}
 		if (rand() % 200 == 0) {
 			/*
-			 * The process is restarted; its former one's messages may still come, but
-			 * not after new ones.
+			 * The process is restarted. Messages of the previous one may still arrive,
+			 * but not after those of the new one.
 			 */
 			unsigned i = 0;
 
 			while (i < n) {
-				if (air[i].vm == vm)
-					air[i] = air[--n];
+				if (in_transit[i].vm == vm)
+					in_transit[i] = in_transit[--n];
 				else
 					i++;
 			}
@@ -272,21 +277,21 @@
 		}
 		if (n > 0 && rand() % 4 != 0) {
 			unsigned i = (unsigned)rand() % n;
-			struct flying *fly = &air[i];
+			struct message_in_transit *message = &in_transit[i];
 
 			if (rand() % 8 == 0) {
-				*fly = air[--n];
-			} else if (fly->answer) {
-				share_holder_order(&h[fly->vm], &fly->o, now);
+				*message = in_transit[--n];
+			} else if (message->answer) {
+				share_holder_order(&h[message->vm], &message->o, now);
 				if (rand() % 4 != 0)
-					*fly = air[--n];
+					*message = in_transit[--n];
 			} else {
-				fly->o = share_alloc_report(&a[fly->alloc], names[fly->vm], &fly->r,
-							    now);
-				fly->answer = true;
+				message->o = share_alloc_report(
+					&a[message->alloc], names[message->vm], &message->r, now);
+				message->answer = true;
 			}
 		}
-		if (sum(h) > SHARE_WHOLE) {
+		if (sum(h) > SHARE_TOTAL_UNITS) {
 			CHECK(false, "seed %u step %u: %lu", seed, step, sum(h));
 			break;
 		}
@@ -295,7 +300,7 @@
 	share_alloc_clear(&a[1]);
 }
 
-static void test_sum_never_passes_the_whole(void)
+static void test_sum_of_units_never_exceeds_total(void)
 {
 	unsigned seed;
 
@@ -304,9 +309,9 @@
 }
 
 /*
- * A VM is gone for good just when all others start again: the allocator waits for it, and callers
- * were refused for eleven seconds. What the users tolerate is divided so that each VM has a part of
- * its own; all parts together stay within what they tolerate, however they are used.
+ * Guards against own parts that exceed the tolerance together with the dynamic part. Own parts
+ * exist because requests were refused for eleven seconds when one VM was lost while all others
+ * restarted: the allocator waited for its report.
  */
 static void test_own_parts_stay_within_the_tolerance(void)
 {
@@ -319,7 +324,7 @@
 			double rate = rates[i], burst = rates[i];
 			struct share_split s = share_split(rate, burst, vms, &t);
 			double most = vms * (s.own_rate * t.window_s + s.own_burst) +
-				      s.moved_rate * t.window_s + s.moved_burst;
+				      s.dynamic_rate * t.window_s + s.dynamic_burst;
 			double limit = (rate * t.window_s + burst) * 1.1 + 20;
 
 			CHECK(most <= limit, "%f for %f, rate %f, %u VMs", most, limit, rate, vms);
@@ -330,23 +335,23 @@
 	CHECK(six.own_rate * 6 > 0.5 * 135, "%f of 135 without any allocator", six.own_rate * 6);
 }
 
-/* Without a tolerance nothing but the moved parts is handed out, as before. */
+/* Guards against own parts of a team without tolerance, which may have the dynamic part alone. */
 static void test_no_tolerance_no_own_part(void)
 {
 	const struct share_tolerance none = {0};
 	struct share_split s = share_split(100, 50, 6, &none);
 
 	CU_ASSERT_EQUAL(s.own_rate, 0);
-	CU_ASSERT_EQUAL(s.moved_rate, 100);
-	CU_ASSERT_EQUAL(s.moved_burst, 50);
+	CU_ASSERT_EQUAL(s.dynamic_rate, 100);
+	CU_ASSERT_EQUAL(s.dynamic_burst, 50);
 }
 
 /*
- * A team's requests are refused for up to four seconds after its allocator changed. A holder
- * without requests reports seldom, and its allocator gives out nothing before it has heard from
- * all. One that is asked, or has another allocator, reports at once.
+ * Guards against requests that are refused for up to four seconds after a change of the allocator.
+ * A holder without requests reports rarely, and the new allocator distributes no units before all
+ * have reported. A holder that is asked for a report must send it at once.
  */
-static void test_asked_holder_at_rest_reports(void)
+static void test_idle_holder_reports_when_asked(void)
 {
 	struct share_holder h[VMS];
 	struct share_alloc a;
@@ -355,20 +360,20 @@
 
 	setup(h, &a, 1, now);
 	for (round = 0; round < 100; round++) {
-		now += STEP;
+		now += STEP_US;
 		exchange(&h[1], &a, 1, now);
 	}
 	CU_ASSERT_TRUE(share_holder_due_us(&h[1]) > now + USEC_PER_SEC);
-	share_holder_poked(&h[1]);
+	share_holder_report_now(&h[1]);
 	CU_ASSERT_TRUE(share_holder_due_us(&h[1]) <= now);
 	share_alloc_clear(&a);
 }
 
 /*
- * A team's requests are refused for seconds though all its VMs are there. A VM that obeyed another
- * allocator for a moment comes back with a higher epoch, so the allocator begins again and has to
- * hear from all holders; most of them rest and would report only after four seconds. They are
- * asked.
+ * Guards against requests that are refused for seconds although all VMs are up. A VM that was bound
+ * to another allocator for a moment reports a higher epoch, so the allocator starts a new epoch and
+ * needs a report from all holders; idle ones would send theirs only after four seconds and must be
+ * asked for it.
  */
 static void test_holders_are_asked_after_a_restart(void)
 {
@@ -381,19 +386,19 @@
 
 	setup(h, &a, 1, now);
 	for (round = 0; round < 10; round++) {
-		now += STEP;
+		now += STEP_US;
 		for (i = 0; i < VMS; i++)
 			exchange(&h[i], &a, i, now);
 	}
 	CU_ASSERT_TRUE(a.whole);
-	CU_ASSERT_EQUAL(share_alloc_unheard(&a, ask, VMS, now), 0);
+	CU_ASSERT_EQUAL(share_alloc_unbound_to_ask(&a, ask, VMS, now), 0);
 	h[3].epoch = a.epoch + 1;
 	exchange(&h[3], &a, 3, now);
 	CU_ASSERT_FALSE(a.whole);
-	n = share_alloc_unheard(&a, ask, VMS, now);
+	n = share_alloc_unbound_to_ask(&a, ask, VMS, now);
 	CU_ASSERT_EQUAL(n, VMS);
-	/* Not again before they can have answered. */
-	CU_ASSERT_EQUAL(share_alloc_unheard(&a, ask, VMS, now + STEP), 0);
+	/* They are not asked again before they can have answered. */
+	CU_ASSERT_EQUAL(share_alloc_unbound_to_ask(&a, ask, VMS, now + STEP_US), 0);
 	for (round = 0; round < 2; round++) {
 		for (i = 0; i < VMS; i++) {
 			for (k = 0; k < n && strcmp(ask[k], names[i]) != 0; k++)
@@ -407,12 +412,12 @@
 }
 
 /*
- * A team too small to be split is refused everywhere for up to four seconds after its allocator has
- * changed, though the new one has heard from all VMs. Single tokens are granted out of the
- * allocator's own part, and its own VM, which has no requests of the team, takes that part only
- * with its next report. It has to be told that there is something to take.
+ * Guards against a team too small to be split whose requests are refused on all VMs for up to four
+ * seconds after a change of the allocator, although all VMs have reported. Single tokens are
+ * granted from the units of the allocator's own VM, and that VM, without requests of the team,
+ * would take them only with its next regular report. It must be made to report earlier.
  */
-static void test_allocator_takes_what_it_grants_from(void)
+static void test_new_allocator_takes_units_to_grant_from(void)
 {
 	struct share_holder h[VMS];
 	struct share_alloc a[2];
@@ -422,13 +427,14 @@
 	setup(h, a, 2, now);
 	a[0].burst = a[1].burst = 4;
 	for (round = 0; round < 10; round++) {
-		now += STEP;
+		now += STEP_US;
 		for (i = 0; i < VMS; i++)
 			exchange(&h[i], &a[0], i, now);
 	}
-	CHECK(h[0].units > SHARE_WHOLE * 0.98, "%u", h[0].units);
-	CU_ASSERT_FALSE(share_alloc_self_short(&a[0], now));
-	/* The allocator leaves; the second VM allocates, and its own holder reports first. */
+	CHECK(h[0].units > SHARE_TOTAL_UNITS * 0.98, "%u", h[0].units);
+	CU_ASSERT_FALSE(share_alloc_self_below_target(&a[0], now));
+	/* The allocator leaves; the second VM takes over, and its own holder is the first to
+	 * report. */
 	share_holder_leave(&h[0]);
 	share_alloc_left(&a[1], names[0], now);
 	for (round = 0; round < 2; round++) {
@@ -436,16 +442,16 @@
 			exchange(&h[i], &a[1], i, now);
 	}
 	CU_ASSERT_TRUE(a[1].whole);
-	CU_ASSERT_TRUE(share_alloc_self_short(&a[1], now));
+	CU_ASSERT_TRUE(share_alloc_self_below_target(&a[1], now));
 	exchange(&h[1], &a[1], 1, now);
-	CHECK(h[1].units > SHARE_WHOLE * 0.98, "%u", h[1].units);
-	CU_ASSERT_FALSE(share_alloc_self_short(&a[1], now));
+	CHECK(h[1].units > SHARE_TOTAL_UNITS * 0.98, "%u", h[1].units);
+	CU_ASSERT_FALSE(share_alloc_self_below_target(&a[1], now));
 	share_alloc_clear(&a[0]);
 	share_alloc_clear(&a[1]);
 }
 
-/** The allocator can tell for whom it waits. */
-static void test_tells_who_is_not_heard(void)
+/* Guards against an allocator that waits for reports without a way to name the missing VM. */
+static void test_unbound_holders_are_named(void)
 {
 	struct share_holder h[VMS];
 	struct share_alloc a;
@@ -457,13 +463,13 @@
 	for (round = 0; round < 2; round++) {
 		for (i = 0; i < VMS - 1; i++)
 			exchange(&h[i], &a, i, now);
-		now += STEP;
+		now += STEP_US;
 	}
-	CU_ASSERT_EQUAL(share_alloc_unbound(&a, &first), 1);
+	CU_ASSERT_EQUAL(share_alloc_count_unbound(&a, &first), 1);
 	CU_ASSERT_STRING_EQUAL(first, names[VMS - 1]);
 	exchange(&h[VMS - 1], &a, VMS - 1, now);
 	exchange(&h[VMS - 1], &a, VMS - 1, now);
-	CU_ASSERT_EQUAL(share_alloc_unbound(&a, &first), 0);
+	CU_ASSERT_EQUAL(share_alloc_count_unbound(&a, &first), 0);
 	CU_ASSERT_STRING_EQUAL(first, "");
 	share_alloc_clear(&a);
 }
@@ -471,19 +477,20 @@
 static const struct test_case cases[] = {
 	{"own_parts_stay_within_the_tolerance", test_own_parts_stay_within_the_tolerance},
 	{"no_tolerance_no_own_part", test_no_tolerance_no_own_part},
-	{"whole_is_given_out", test_whole_is_given_out},
+	{"all_units_are_handed_out", test_all_units_are_handed_out},
 	{"follows_demand", test_follows_demand},
-	{"has_what_it_asks_for", test_has_what_it_asks_for},
+	{"demand_below_the_rate_is_covered", test_demand_below_the_rate_is_covered},
 	{"incomplete_census_gives_nothing_new", test_incomplete_census_gives_nothing_new},
-	{"peaks_are_not_the_team", test_peaks_are_not_the_team},
-	{"paused_holder_gives_up", test_paused_holder_gives_up},
+	{"alternating_peaks_do_not_count_as_over_rate",
+	 test_alternating_peaks_do_not_count_as_over_rate},
+	{"paused_holder_gives_up_units", test_paused_holder_gives_up_units},
 	{"late_order_is_ignored", test_late_order_is_ignored},
-	{"leaving_holder_hands_over", test_leaving_holder_hands_over},
-	{"small_burst_is_kept_whole", test_small_burst_is_kept_whole},
-	{"sum_never_passes_the_whole", test_sum_never_passes_the_whole},
-	{"asked_holder_at_rest_reports", test_asked_holder_at_rest_reports},
+	{"units_of_a_leaving_holder_are_reassigned", test_units_of_a_leaving_holder_are_reassigned},
+	{"small_burst_is_not_split", test_small_burst_is_not_split},
+	{"sum_of_units_never_exceeds_total", test_sum_of_units_never_exceeds_total},
+	{"idle_holder_reports_when_asked", test_idle_holder_reports_when_asked},
 	{"holders_are_asked_after_a_restart", test_holders_are_asked_after_a_restart},
-	{"allocator_takes_what_it_grants_from", test_allocator_takes_what_it_grants_from},
-	{"tells_who_is_not_heard", test_tells_who_is_not_heard},
+	{"new_allocator_takes_units_to_grant_from", test_new_allocator_takes_units_to_grant_from},
+	{"unbound_holders_are_named", test_unbound_holders_are_named},
 };
 HARNESS_MAIN("share", cases)
--- a/tests/test-shares.c
+++ b/tests/test-shares.c
@@ -99,7 +99,7 @@
 	w.settings.rate_window_s = 0;
 	run_ms(&w, 60);
 	CU_ASSERT_FALSE(allocates(&w));
-	peers_list(&fleet_of(w.k)->peers, 5, &self, 1);
+	peers_apply_list(&fleet_of(w.k)->peers, 5, &self, 1);
 	fleet_members_changed(fleet_of(w.k));
 	run_ms(&w, 400);
 	CU_ASSERT_TRUE(allocates(&w));
--- a/tests/test-sqlscan.c
+++ b/tests/test-sqlscan.c
@@ -1,4 +1,4 @@
-/** @file test-sqlscan.c Classes of statements. */
+/** @file test-sqlscan.c Classification of statements. */
 #include "harness.h"
 #include "sqlscan.h"
 
@@ -27,8 +27,8 @@
 		{"SELECT \"a;commit\"", STMT_OTHER, 1, false},
 		{"INSERT INTO t VALUES (1); COMMIT; DELETE FROM t", STMT_OTHER, 3, true},
 		{"SELECT 1; SET x = 1", STMT_OTHER, 2, true},
-		{"COPY t FROM stdin", STMT_UNSERVED, 1, false},
-		{"SELECT 1; LISTEN x", STMT_UNSERVED, 2, true},
+		{"COPY t FROM stdin", STMT_UNSUPPORTED, 1, false},
+		{"SELECT 1; LISTEN x", STMT_UNSUPPORTED, 2, true},
 		{"beginning", STMT_OTHER, 1, false},
 		{"SELECT $1; COMMIT", STMT_OTHER, 2, true},
 		{"SELECT 'unclosed ; COMMIT", STMT_OTHER, 1, false},
@@ -39,9 +39,9 @@
 		struct stmt_scan s = sqlscan(cases_in[i].text);
 
 		CHECK(s.class == cases_in[i].class && s.statements == cases_in[i].statements &&
-			      s.control_inside == cases_in[i].control,
+			      s.has_control == cases_in[i].control,
 		      "%s: class %d statements %u control %d", cases_in[i].text, (int)s.class,
-		      s.statements, s.control_inside);
+		      s.statements, s.has_control);
 	}
 }
 
--- a/tests/test-store-list.c
+++ b/tests/test-store-list.c
@@ -218,7 +218,7 @@
 	store_source.conf_changed = true;
 	source_publish();
 	CU_ASSERT_TRUE(f->conf->version > DOCUMENT_REVISION * 8);
-	page_cut(f->conf, DOCUMENT_REVISION * 8, "", 100000, &p);
+	page_build(f->conf, DOCUMENT_REVISION * 8, "", 100000, &p);
 	CU_ASSERT_FALSE(p.u.full);
 	for (i = 0; i < p.u.entries->len; i++) {
 		const struct conf_entry *e = g_ptr_array_index(p.u.entries, i);
@@ -230,7 +230,7 @@
 	CU_ASSERT_EQUAL(ended, 1);
 	CU_ASSERT_EQUAL(p.u.entries->len, 2);
 	conf_update_clear(&p.u);
-	page_cut(f->conf, DOCUMENT_REVISION * 8 - 1, "", 100000, &p);
+	page_build(f->conf, DOCUMENT_REVISION * 8 - 1, "", 100000, &p);
 	CU_ASSERT_TRUE(p.u.full);
 	conf_update_clear(&p.u);
 }
