--- a/cmd/mangoload-plan.c
+++ b/cmd/mangoload-plan.c
@@ -1,4 +1,4 @@
-/** @file mangoload-plan.c The plan of a load. */
+/** @file mangoload-plan.c Parser of the load plan. */
 #include "mangoload.h"
 
 #include "error.h"
@@ -60,14 +60,15 @@
 	return numbers[choice];
 }
 
-/** The plan's lists: key, most entries, where they go. */
-static const struct list {
+/** Arrays of tables in the plan, and where they are stored in struct load_plan. */
+static const struct plan_list {
 	const char *key;
 	const struct schema_field *fields;
 	unsigned n_fields;
-	size_t count, first, size;
-	unsigned max;
-} lists[] = {
+	size_t count, first; /**< offsets of the element count and of the first element */
+	size_t size;	     /**< of an element */
+	unsigned max;	     /**< elements */
+} plan_lists[] = {
 	{"vm", address_field, 1, offsetof(struct load_plan, n_vms), offsetof(struct load_plan, vm),
 	 ADDRESS_SIZE, LOAD_VMS_MAX},
 	{"rpc", address_field, 1, offsetof(struct load_plan, n_rpc),
@@ -82,7 +83,7 @@
 	 offsetof(struct load_plan, fault), sizeof(struct load_fault), LOAD_FAULTS_MAX},
 };
 
-static gboolean read_list(JsonObject *root, const char *path, const struct list *list,
+static gboolean read_list(JsonObject *root, const char *path, const struct plan_list *list,
 			  struct load_plan *plan, GError **error)
 {
 	unsigned *count = (unsigned *)(void *)((char *)plan + list->count);
@@ -112,7 +113,8 @@
 	return TRUE;
 }
 
-static gboolean read_keys(struct load_plan *plan, GError **error)
+/** Reads the API key of each team from its key_file. */
+static gboolean read_team_keys(struct load_plan *plan, GError **error)
 {
 	unsigned i;
 
@@ -126,7 +128,7 @@
 
 gboolean load_plan_read(const char *path, struct load_plan *plan, GError **error)
 {
-	const char *known[G_N_ELEMENTS(lists) + 1] = {NULL};
+	const char *known[G_N_ELEMENTS(plan_lists) + 1] = {NULL};
 	JsonObject *root;
 	gboolean ok;
 	unsigned i;
@@ -135,12 +137,12 @@
 	root = schema_load(path, error);
 	if (root == NULL)
 		return FALSE;
-	for (i = 0; i < G_N_ELEMENTS(lists); i++)
-		known[i] = lists[i].key;
+	for (i = 0; i < G_N_ELEMENTS(plan_lists); i++)
+		known[i] = plan_lists[i].key;
 	ok = schema_read(root, path, plan_fields, G_N_ELEMENTS(plan_fields), known, plan, error);
-	for (i = 0; i < G_N_ELEMENTS(lists) && ok; i++)
-		ok = read_list(root, path, &lists[i], plan, error);
-	ok = ok && read_keys(plan, error);
+	for (i = 0; i < G_N_ELEMENTS(plan_lists) && ok; i++)
+		ok = read_list(root, path, &plan_lists[i], plan, error);
+	ok = ok && read_team_keys(plan, error);
 	if (ok && (plan->n_vms == 0 || plan->n_teams == 0 || plan->n_kinds == 0)) {
 		g_set_error(error, ML_ERROR, ML_ERROR_SETTINGS,
 			    "%s: found no vm, team or kind; allowed: one or more of each", path);
--- a/cmd/mangoload-report.c
+++ b/cmd/mangoload-report.c
@@ -1,6 +1,6 @@
 /**
- * @file mangoload-report.c The measures of a run, and the comparison with the databases' own
- * records.
+ * @file mangoload-report.c Statistics of a run, and the comparison of outcomes with the contents of
+ * the databases.
  */
 #include "mangoload.h"
 #include "net.h"
@@ -12,26 +12,26 @@
 #include <string.h>
 
 struct tally {
-	unsigned offered, told[LOAD_TOLD], stale;
-	double *wait_ms; /**< of acknowledged requests, from their arrival */
-	unsigned n_wait;
+	unsigned offered, by_outcome[LOAD_OUTCOMES], stale;
+	double *latency_ms; /**< of acknowledged requests, from arrival to answer */
+	unsigned n_latencies;
 };
 
-static double quantile(struct tally *t, double q)
+static double latency_quantile(struct tally *t, double q)
 {
-	if (t->n_wait == 0)
+	if (t->n_latencies == 0)
 		return 0;
-	gsl_sort(t->wait_ms, 1, t->n_wait);
-	return gsl_stats_quantile_from_sorted_data(t->wait_ms, 1, t->n_wait, q);
+	gsl_sort(t->latency_ms, 1, t->n_latencies);
+	return gsl_stats_quantile_from_sorted_data(t->latency_ms, 1, t->n_latencies, q);
 }
 
-/** Count the requests of @a team (-1: all) that arrived in [from, until). */
+/** Counts the requests of @a team (-1: all) that arrived in [from, until). */
 static void tally_fill(const struct load *l, int team, int64_t from, int64_t until, struct tally *t)
 {
 	guint i;
 
 	memset(t, 0, sizeof(*t));
-	t->wait_ms = g_new0(double, l->requests->len + 1);
+	t->latency_ms = g_new0(double, l->requests->len + 1);
 	for (i = 0; i < l->requests->len; i++) {
 		const struct load_request *r = &g_array_index(l->requests, struct load_request, i);
 
@@ -39,14 +39,14 @@
 		    r->due_us >= until)
 			continue;
 		t->offered++;
-		t->told[r->told]++;
+		t->by_outcome[r->outcome]++;
 		t->stale += r->stale;
-		if (r->told == LOAD_ACKED)
-			t->wait_ms[t->n_wait++] = (double)(r->done_us - r->due_us) / 1000.0;
+		if (r->outcome == LOAD_ACKED)
+			t->latency_ms[t->n_latencies++] = (double)(r->done_us - r->due_us) / 1000.0;
 	}
 }
 
-static int by_done(const void *a, const void *b)
+static int compare_done(const void *a, const void *b)
 {
 	int64_t x = ((const struct load_request *)a)->done_us,
 		y = ((const struct load_request *)b)->done_us;
@@ -54,7 +54,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/** Longest time that a team went without an acknowledged write. */
+/** Returns the longest time without an acknowledged write of a team, from the start of the run. */
 static double team_gap_ms(const struct load *l, unsigned team)
 {
 	int64_t last = 0, gap = 0;
@@ -63,7 +63,7 @@
 	for (i = 0; i < l->requests->len; i++) {
 		const struct load_request *r = &g_array_index(l->requests, struct load_request, i);
 
-		if (r->team != team || r->told != LOAD_ACKED || !l->plan.kind[r->kind].write)
+		if (r->team != team || r->outcome != LOAD_ACKED || !l->plan.kind[r->kind].write)
 			continue;
 		gap = MAX(gap, r->done_us - last);
 		last = r->done_us;
@@ -71,41 +71,44 @@
 	return (double)gap / 1000.0;
 }
 
-/** The same of the team that went without one for longest. Puts the requests in order of their
- * ends. */
+/**
+ * Returns the longest time that any team went without an acknowledged write. Sorts the requests by
+ * completion time.
+ */
 static double write_gap_ms(struct load *l)
 {
 	double gap = 0;
 	unsigned i;
 
-	qsort(l->requests->data, l->requests->len, sizeof(struct load_request), by_done);
+	qsort(l->requests->data, l->requests->len, sizeof(struct load_request), compare_done);
 	for (i = 0; i < l->plan.n_teams; i++)
 		gap = MAX(gap, team_gap_ms(l, i));
 	return gap;
 }
 
 /**
- * Most that a team's acknowledged requests passed its rate and burst by, over any window: a bucket
- * that is drained by each acknowledgement, in the order in which they came.
+ * Returns by how many requests a team exceeded its rate and burst at most, over any window.
+ * Computed with a leaky bucket: each acknowledged request adds one, and the level falls at the
+ * team's rate. Requests must be sorted by completion time.
  */
-static double over_rate(const struct load *l, unsigned team)
+static double rate_excess(const struct load *l, unsigned team)
 {
 	const struct load_team *t = &l->plan.team[team];
-	double level = 0, worst = 0;
+	double level = 0, excess = 0;
 	int64_t last = 0;
 	guint i;
 
 	for (i = 0; i < l->requests->len; i++) {
 		const struct load_request *r = &g_array_index(l->requests, struct load_request, i);
 
-		if (r->team != team || r->told != LOAD_ACKED)
+		if (r->team != team || r->outcome != LOAD_ACKED)
 			continue;
 		level -= t->rate * (double)(r->done_us - last) / 1e6;
 		level = MAX(level, 0) + 1;
 		last = r->done_us;
-		worst = MAX(worst, level - t->burst);
+		excess = MAX(excess, level - t->burst);
 	}
-	return t->rate > 0 ? worst : 0;
+	return t->rate > 0 ? excess : 0;
 }
 
 static PGconn *connect_member(const char *address)
@@ -133,7 +136,7 @@
 	return ok;
 }
 
-/** A connection to each member that leads, with its group's highest term. */
+/** Connects to all members and keeps the connections to those that report the role of primary. */
 static unsigned connect_primaries(const struct load *l, PGconn **out)
 {
 	unsigned n = 0, i;
@@ -152,12 +155,16 @@
 	return n;
 }
 
-struct compared {
-	unsigned checked, lost, doubled, untrue;
+/** Writes compared with the databases. */
+struct write_check {
+	unsigned checked;
+	unsigned lost;	  /**< acknowledged, but absent */
+	unsigned doubled; /**< present more than once */
+	unsigned untrue;  /**< reported as not executed, but present */
 };
 
-/** What callers of writes were told, against what the databases have. */
-static void compare_with_databases(const struct load *l, struct compared *x)
+/** Compares the outcome of each write with the rows on the primaries. */
+static void compare_with_databases(const struct load *l, struct write_check *x)
 {
 	PGconn *primary[LOAD_MEMBERS_MAX];
 	unsigned n = connect_primaries(l, primary), j;
@@ -179,8 +186,9 @@
 		}
 		g_free(sql);
 		x->checked++;
-		x->lost += r->told == LOAD_ACKED && count == 0;
-		x->untrue += (r->told == LOAD_REFUSED || r->told == LOAD_OVER_RATE) && count > 0;
+		x->lost += r->outcome == LOAD_ACKED && count == 0;
+		x->untrue +=
+			(r->outcome == LOAD_REFUSED || r->outcome == LOAD_OVER_RATE) && count > 0;
 		x->doubled += count > 1;
 	}
 	for (j = 0; j < n; j++)
@@ -204,18 +212,22 @@
 			tally_fill(l, (int)i, second * USEC_PER_SEC, (second + 1) * USEC_PER_SEC,
 				   &t);
 			fprintf(f, "%u,%s,%u,%u,%u,%u,%u,%.2f,%.2f\n", second, l->plan.team[i].name,
-				t.offered, t.told[LOAD_ACKED], t.told[LOAD_REFUSED],
-				t.told[LOAD_OVER_RATE], t.told[LOAD_UNKNOWN], quantile(&t, 0.5),
-				quantile(&t, 0.99));
-			g_free(t.wait_ms);
+				t.offered, t.by_outcome[LOAD_ACKED], t.by_outcome[LOAD_REFUSED],
+				t.by_outcome[LOAD_OVER_RATE], t.by_outcome[LOAD_UNKNOWN],
+				latency_quantile(&t, 0.5), latency_quantile(&t, 0.99));
+			g_free(t.latency_ms);
 		}
 	}
 	fclose(f);
 }
 
-/** One line a team. @return the share of what it might have that it got */
-static double report_team(const struct load *l, unsigned i, bool json, double *over,
-			  unsigned *wrongly)
+/**
+ * Prints the line of a team.
+ * @return acknowledged requests as a fraction of those offered or of those that the team's rate and
+ * burst allow, whichever is smaller
+ */
+static double report_team(const struct load *l, unsigned i, bool json, double *excess,
+			  unsigned *refused_within_rate)
 {
 	const struct load_team *team = &l->plan.team[i];
 	double allowed = team->rate > 0 ? team->rate * l->plan.seconds + team->burst : 1e12;
@@ -223,43 +235,44 @@
 	struct tally t;
 
 	tally_fill(l, (int)i, 0, INT64_MAX, &t);
-	*over = over_rate(l, i);
-	/* A team that offers less than its rate should be refused nothing. */
-	*wrongly = (double)t.offered <= allowed && team->surge <= 1
-			   ? t.told[LOAD_OVER_RATE] + t.told[LOAD_REFUSED]
-			   : 0;
-	served = t.offered > 0 ? (double)t.told[LOAD_ACKED] / MIN((double)t.offered, allowed) : 1;
+	*excess = rate_excess(l, i);
+	/* No request of a team that stays within its rate should be refused. */
+	*refused_within_rate = (double)t.offered <= allowed && team->surge <= 1
+				       ? t.by_outcome[LOAD_OVER_RATE] + t.by_outcome[LOAD_REFUSED]
+				       : 0;
+	served = t.offered > 0 ? (double)t.by_outcome[LOAD_ACKED] / MIN((double)t.offered, allowed)
+			       : 1;
 	printf(json ? "{\"team\":\"%s\",\"offered\":%u,\"acknowledged\":%u,\"refused\":%u,\"over_"
 		      "rate\":%u,\"unknown\":%u,"
 		      "\"errors\":%u,\"p50_ms\":%.2f,\"p99_ms\":%.2f,\"served\":%.4f}\n"
 		    : "%-16s %7u offered %7u acknowledged %6u refused %6u over rate %4u unknown "
 		      "%4u errors  "
 		      "p50 %8.2f ms  p99 %8.2f ms  served %.3f\n",
-	       team->name, t.offered, t.told[LOAD_ACKED], t.told[LOAD_REFUSED],
-	       t.told[LOAD_OVER_RATE], t.told[LOAD_UNKNOWN], t.told[LOAD_ERROR], quantile(&t, 0.5),
-	       quantile(&t, 0.99), served);
-	g_free(t.wait_ms);
+	       team->name, t.offered, t.by_outcome[LOAD_ACKED], t.by_outcome[LOAD_REFUSED],
+	       t.by_outcome[LOAD_OVER_RATE], t.by_outcome[LOAD_UNKNOWN], t.by_outcome[LOAD_ERROR],
+	       latency_quantile(&t, 0.5), latency_quantile(&t, 0.99), served);
+	g_free(t.latency_ms);
 	return served;
 }
 
 bool load_report(struct load *l, const char *csv, bool json)
 {
-	double gap = write_gap_ms(l), worst = 2, over_most = 0, reads;
-	unsigned wrongly = 0, i, worst_team = 0;
-	struct compared x;
+	double gap = write_gap_ms(l), worst_served = 2, excess_max = 0, reads;
+	unsigned refused_within_rate = 0, i, worst_team = 0;
+	struct write_check x;
 	struct tally all;
 
 	for (i = 0; i < l->plan.n_teams; i++) {
-		double over, served;
-		unsigned w;
+		double excess, served;
+		unsigned n_refused;
 
-		served = report_team(l, i, json, &over, &w);
-		if (served < worst) {
-			worst = served;
+		served = report_team(l, i, json, &excess, &n_refused);
+		if (served < worst_served) {
+			worst_served = served;
 			worst_team = i;
 		}
-		over_most = MAX(over_most, over);
-		wrongly += w;
+		excess_max = MAX(excess_max, excess);
+		refused_within_rate += n_refused;
 	}
 	tally_fill(l, -1, 0, INT64_MAX, &all);
 	compare_with_databases(l, &x);
@@ -275,9 +288,9 @@
 		      "%u, \"not run\" but there %u; "
 		      "over rate and burst by %.1f\n",
 	       reads > 0 ? (double)l->replica_reads / reads : 0, gap, l->plan.team[worst_team].name,
-	       worst, wrongly, l->open, all.stale, x.checked, x.lost, x.doubled, x.untrue,
-	       over_most);
-	g_free(all.wait_ms);
+	       worst_served, refused_within_rate, l->unanswered, all.stale, x.checked, x.lost,
+	       x.doubled, x.untrue, excess_max);
+	g_free(all.latency_ms);
 	if (csv != NULL)
 		write_csv(l, csv);
 	return all.stale == 0 && x.lost == 0 && x.doubled == 0 && x.untrue == 0;
--- a/cmd/mangoload-run.c
+++ b/cmd/mangoload-run.c
@@ -1,4 +1,4 @@
-/** @file mangoload-run.c Sessions, and the requests that arrive for them. */
+/** @file mangoload-run.c Sessions, arrivals of requests, and injected faults. */
 #include "mangoload.h"
 #include "net.h"
 
@@ -10,56 +10,60 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Time after the last arrival for the last answers. */
-#define SETTLE_US (3 * USEC_PER_SEC)
+/** Time after the last arrival in which outstanding requests may complete. */
+#define DRAIN_US (3 * USEC_PER_SEC)
 #define RECONNECT_US (100 * USEC_PER_MSEC)
 #define STATUS_TIMEOUT_US (2 * USEC_PER_SEC)
 #define TEXT_SIZE 512
 
 struct team_run;
 
-/** One caller's session. Its own counter shows whether it reads what it wrote. */
+/**
+ * One caller's session. Each of its writes also stores an increasing counter in the session's own
+ * row, which its reads return: a lower value than the last acknowledged one is a stale read.
+ */
 struct session {
-	TAILQ_ENTRY(session) link; /**< idle ones */
+	TAILQ_ENTRY(session) link; /**< in team_run.idle */
 	struct load *l;
 	struct team_run *t;
 	unsigned number, vm;
 	PGconn *pg;
 	struct event *io, *timer;
 	bool connecting, busy;
-	bool setting; /**< the kind is being set, before the request itself */
-	int kind;     /**< that is set; -1 for none */
-	char token[TEXT_SIZE];
-	unsigned written; /**< its counter, as last acknowledged */
+	bool setting_kind;	  /**< SET mangoloom.kind is running, ahead of the request */
+	int kind;		  /**< set on the connection; -1 for none */
+	char token[TEXT_SIZE];	  /**< session token */
+	unsigned written_counter; /**< last acknowledged counter */
 	struct load_request request;
-	bool failed; /**< the answer was an error */
-	bool own;    /**< the running read asks for its own counter */
-	unsigned saw;
-	char state[6], detail[64];
+	bool failed;	       /**< the answer was an error */
+	bool reads_counter;    /**< the request is a read, and a counter was written before */
+	unsigned read_counter; /**< counter that the read returned */
+	/** SQLSTATE and DETAIL of the error. */
+	char sqlstate[6], detail[64];
 	char sql[TEXT_SIZE]; /**< of the request */
 };
 TAILQ_HEAD(sessions, session);
 
-/** A request that waits for a session. */
-struct waiting {
-	TAILQ_ENTRY(waiting) link;
+/** A request that waits for an idle session. */
+struct queued_request {
+	TAILQ_ENTRY(queued_request) link;
 	struct load_request request;
 };
-TAILQ_HEAD(waitings, waiting);
+TAILQ_HEAD(request_queue, queued_request);
 
 struct team_run {
 	struct load *l;
 	unsigned index;
 	const struct load_team *team;
 	struct sessions idle;
-	struct waitings waiting;
+	struct request_queue queue;
 	struct event *arrival;
 	unsigned writes;
-	double next_us;
+	double next_arrival_us; /**< next arrival, since the start of the run */
 };
 
 static void session_start(struct session *s, const struct load_request *r);
-static void session_set(struct session *s);
+static void session_kind_set(struct session *s);
 
 static double uniform(void)
 {
@@ -91,7 +95,7 @@
 	event_add(s->io, NULL);
 }
 
-static void session_drop(struct session *s)
+static void session_disconnect(struct session *s)
 {
 	if (s->io != NULL)
 		event_free(s->io);
@@ -112,7 +116,7 @@
 				"load", options, "disable",	   "disable",
 				NULL};
 
-	session_drop(s);
+	session_disconnect(s);
 	if (s->l->ended)
 		return;
 	values[1] = net_split(p->vm[s->vm], host);
@@ -120,7 +124,7 @@
 		 p->deadline_ms, s->token);
 	s->connecting = true;
 	s->kind = -1;
-	s->setting = false;
+	s->setting_kind = false;
 	s->pg = PQconnectStartParams(keys, values, 0);
 	if (PQstatus(s->pg) == CONNECTION_BAD) {
 		kernel_arm(s->timer, RECONNECT_US);
@@ -129,7 +133,7 @@
 	session_wait(s, EV_WRITE);
 }
 
-/** Go on elsewhere: the balancer picks another VM. */
+/** Reconnects through a random VM, as a load balancer would choose it. */
 static void session_reconnect(struct session *s, int64_t after_us)
 {
 	s->vm = (unsigned)(random_bits() % s->l->plan.n_vms);
@@ -138,12 +142,12 @@
 
 static void session_idle(struct session *s)
 {
-	struct waiting *w = TAILQ_FIRST(&s->t->waiting);
+	struct queued_request *w = TAILQ_FIRST(&s->t->queue);
 
 	if (w != NULL) {
 		struct load_request r = w->request;
 
-		TAILQ_REMOVE(&s->t->waiting, w, link);
+		TAILQ_REMOVE(&s->t->queue, w, link);
 		g_free(w);
 		session_start(s, &r);
 		return;
@@ -154,40 +158,41 @@
 static void request_end(struct load *l, const struct load_request *r)
 {
 	g_array_append_val(l->requests, *r);
-	l->open--;
+	l->unanswered--;
 }
 
-static enum load_told told_by(const struct session *s)
+static enum load_outcome session_outcome(const struct session *s)
 {
 	if (!s->failed)
 		return LOAD_ACKED;
-	if (strcmp(s->state, "53300") == 0)
+	if (strcmp(s->sqlstate, "53300") == 0)
 		return LOAD_OVER_RATE;
 	if (strcmp(s->detail, "not run") == 0)
 		return LOAD_REFUSED;
-	if (strcmp(s->state, "08007") == 0 || s->state[0] == '\0')
+	if (strcmp(s->sqlstate, "08007") == 0 || s->sqlstate[0] == '\0')
 		return LOAD_UNKNOWN;
 	return LOAD_ERROR;
 }
 
-static void session_done(struct session *s)
+static void session_request_done(struct session *s)
 {
 	const struct load_kind *kind = &s->l->plan.kind[s->request.kind];
 	const char *token = PQparameterStatus(s->pg, "mangoloom.session");
 
 	s->request.done_us = now_us() - s->l->start_us;
-	s->request.told = told_by(s);
+	s->request.outcome = session_outcome(s);
 	if (s->failed && g_getenv("MANGOLOAD_VERBOSE") != NULL)
 		printf("%ld ms: %s %s: %s, %s\n", (long)(s->request.done_us / 1000),
-		       s->t->team->name, kind->name, s->state, s->detail);
-	if (s->request.told == LOAD_ACKED && kind->write)
-		s->written++;
-	s->request.stale = s->request.told == LOAD_ACKED && s->own && s->saw < s->written;
+		       s->t->team->name, kind->name, s->sqlstate, s->detail);
+	if (s->request.outcome == LOAD_ACKED && kind->write)
+		s->written_counter++;
+	s->request.stale = s->request.outcome == LOAD_ACKED && s->reads_counter &&
+			   s->read_counter < s->written_counter;
 	if (token != NULL)
 		g_strlcpy(s->token, token, sizeof(s->token));
 	request_end(s->l, &s->request);
 	s->busy = false;
-	if (PQstatus(s->pg) == CONNECTION_BAD || strcmp(s->state, "57P01") == 0)
+	if (PQstatus(s->pg) == CONNECTION_BAD || strcmp(s->sqlstate, "57P01") == 0)
 		session_reconnect(s, RECONNECT_US);
 	else if (uniform() < s->l->plan.roam)
 		session_reconnect(s, 0);
@@ -195,17 +200,17 @@
 		session_idle(s);
 }
 
-static void take_result(struct session *s, PGresult *r)
+static void session_handle_result(struct session *s, PGresult *r)
 {
 	const char *field;
 
 	if (PQresultStatus(r) == PGRES_TUPLES_OK && PQntuples(r) > 0)
-		s->saw = (unsigned)strtoul(PQgetvalue(r, 0, 0), NULL, 10);
+		s->read_counter = (unsigned)strtoul(PQgetvalue(r, 0, 0), NULL, 10);
 	if (PQresultStatus(r) != PGRES_FATAL_ERROR || s->failed)
 		return;
 	s->failed = true;
 	field = PQresultErrorField(r, PG_DIAG_SQLSTATE);
-	g_strlcpy(s->state, field != NULL ? field : "", sizeof(s->state));
+	g_strlcpy(s->sqlstate, field != NULL ? field : "", sizeof(s->sqlstate));
 	field = PQresultErrorField(r, PG_DIAG_MESSAGE_DETAIL);
 	g_strlcpy(s->detail, field != NULL ? field : "", sizeof(s->detail));
 }
@@ -225,7 +230,7 @@
 		session_idle(s);
 		return;
 	default:
-		session_drop(s);
+		session_disconnect(s);
 		session_reconnect(s, RECONNECT_US);
 	}
 }
@@ -242,10 +247,10 @@
 	}
 	alive = PQconsumeInput(s->pg) && PQstatus(s->pg) != CONNECTION_BAD;
 	if (!s->busy) {
-		/* Told to go between two requests. */
+		/* The server closed an idle connection. */
 		if (!alive) {
 			TAILQ_REMOVE(&s->t->idle, s, link);
-			session_drop(s);
+			session_disconnect(s);
 			session_reconnect(s, RECONNECT_US);
 		}
 		return;
@@ -253,13 +258,13 @@
 	while (!PQisBusy(s->pg)) {
 		r = PQgetResult(s->pg);
 		if (r == NULL) {
-			if (s->setting)
-				session_set(s);
+			if (s->setting_kind)
+				session_kind_set(s);
 			else
-				session_done(s);
+				session_request_done(s);
 			return;
 		}
-		take_result(s, r);
+		session_handle_result(s, r);
 		PQclear(r);
 	}
 }
@@ -270,15 +275,15 @@
 		return;
 	s->failed = true;
 	g_strlcpy(s->detail, "not run", sizeof(s->detail));
-	session_done(s);
+	session_request_done(s);
 }
 
-/** The kind is set, or was refused. */
-static void session_set(struct session *s)
+/** Handles the result of SET mangoloom.kind: sends the request, or ends it with the error. */
+static void session_kind_set(struct session *s)
 {
-	s->setting = false;
+	s->setting_kind = false;
 	if (s->failed) {
-		session_done(s);
+		session_request_done(s);
 		return;
 	}
 	s->kind = (int)s->request.kind;
@@ -295,15 +300,15 @@
 	s->request = *r;
 	s->busy = true;
 	s->failed = false;
-	s->own = !kind->write && s->written > 0;
-	s->saw = 0;
-	s->state[0] = '\0';
+	s->reads_counter = !kind->write && s->written_counter > 0;
+	s->read_counter = 0;
+	s->sqlstate[0] = '\0';
 	s->detail[0] = '\0';
 	if (kind->write)
 		snprintf(sql, sizeof(sql),
 			 "INSERT INTO %s VALUES ('%s-%u', 'x'); INSERT INTO sessions VALUES "
 			 "('%s-%u', '%u')",
-			 p->table, team, r->number, team, s->number, s->written + 1);
+			 p->table, team, r->number, team, s->number, s->written_counter + 1);
 	else
 		snprintf(sql, sizeof(sql), "SELECT value FROM sessions WHERE key = '%s-%u'", team,
 			 s->number);
@@ -313,10 +318,10 @@
 		return;
 	}
 	/*
-	 * The kind is a setting of the session; it is sent ahead, in a statement that the proxy
-	 * carries out itself.
+	 * The kind is a session setting. It is sent ahead of the request, in a SET that the proxy
+	 * executes itself.
 	 */
-	s->setting = true;
+	s->setting_kind = true;
 	snprintf(sql, sizeof(sql), "SET mangoloom.kind = '%s'", kind->name);
 	session_send(s, sql);
 }
@@ -331,25 +336,26 @@
 								: t->arrivals;
 }
 
-static void arrive(struct team_run *t)
+static void request_arrive(struct team_run *t)
 {
 	struct load *l = t->l;
-	struct load_request r = {
-		.team = t->index, .kind = pick_kind(&l->plan), .due_us = (int64_t)t->next_us};
+	struct load_request r = {.team = t->index,
+				 .kind = pick_kind(&l->plan),
+				 .due_us = (int64_t)t->next_arrival_us};
 	struct session *s = TAILQ_FIRST(&t->idle);
-	struct waiting *w;
+	struct queued_request *w;
 
 	if (l->plan.kind[r.kind].write)
 		r.number = t->writes++;
-	l->open++;
+	l->unanswered++;
 	if (s != NULL) {
 		TAILQ_REMOVE(&t->idle, s, link);
 		session_start(s, &r);
 		return;
 	}
-	w = g_new0(struct waiting, 1);
+	w = g_new0(struct queued_request, 1);
 	w->request = r;
-	TAILQ_INSERT_TAIL(&t->waiting, w, link);
+	TAILQ_INSERT_TAIL(&t->queue, w, link);
 }
 
 static void on_arrival(evutil_socket_t fd, short what, void *arg)
@@ -358,15 +364,15 @@
 	int64_t now = now_us() - t->l->start_us;
 	double rate;
 
-	while ((int64_t)t->next_us <= now &&
-	       (int64_t)t->next_us < t->l->plan.seconds * USEC_PER_SEC) {
-		arrive(t);
-		rate = team_arrivals(t->team, (int64_t)t->next_us);
-		t->next_us +=
+	while ((int64_t)t->next_arrival_us <= now &&
+	       (int64_t)t->next_arrival_us < t->l->plan.seconds * USEC_PER_SEC) {
+		request_arrive(t);
+		rate = team_arrivals(t->team, (int64_t)t->next_arrival_us);
+		t->next_arrival_us +=
 			-log(uniform()) / (rate > 0.001 ? rate : 0.001) * (double)USEC_PER_SEC;
 	}
-	if ((int64_t)t->next_us < t->l->plan.seconds * USEC_PER_SEC)
-		kernel_arm(t->arrival, MAX((int64_t)t->next_us - now, 0));
+	if ((int64_t)t->next_arrival_us < t->l->plan.seconds * USEC_PER_SEC)
+		kernel_arm(t->arrival, MAX((int64_t)t->next_arrival_us - now, 0));
 }
 
 /* Faults */
@@ -408,7 +414,7 @@
 	t->index = i;
 	t->team = &l->plan.team[i];
 	TAILQ_INIT(&t->idle);
-	TAILQ_INIT(&t->waiting);
+	TAILQ_INIT(&t->queue);
 	t->arrival = event_new(l->kernel->base, -1, 0, on_arrival, t);
 	for (j = 0; j < t->team->sessions; j++) {
 		struct session *s = g_new0(struct session, 1);
@@ -438,23 +444,23 @@
 		kernel_arm(event_new(l->kernel->base, -1, 0, on_fault, f),
 			   f->fault->at_ms * USEC_PER_MSEC);
 	}
-	kernel_arm(end, l->plan.seconds * USEC_PER_SEC + SETTLE_US);
+	kernel_arm(end, l->plan.seconds * USEC_PER_SEC + DRAIN_US);
 	event_base_dispatch(l->kernel->base);
 	event_free(end);
 }
 
 /* Counters of the daemons */
 
-struct counter_ask {
+struct counter_query {
 	struct load *l;
 	const char *name;
-	unsigned open;
+	unsigned unanswered;
 	int64_t sum;
 };
 
-static void counter_told(enum rpc_status status, const void *res, void *arg)
+static void counter_received(enum rpc_status status, const void *res, void *arg)
 {
-	struct counter_ask *a = arg;
+	struct counter_query *a = arg;
 	char *wanted = g_strdup_printf("\"%s\":", a->name);
 	const char *at;
 
@@ -464,22 +470,22 @@
 			a->sum = MAX(a->sum, 0) + strtoll(at + strlen(wanted), NULL, 10);
 	}
 	g_free(wanted);
-	if (--a->open == 0)
+	if (--a->unanswered == 0)
 		event_base_loopbreak(a->l->kernel->base);
 }
 
 int64_t load_counter(struct load *l, const char *name)
 {
-	struct counter_ask a = {.l = l, .name = name, .sum = -1};
+	struct counter_query a = {.l = l, .name = name, .sum = -1};
 	struct rpc *rpc;
 	unsigned i;
 
 	if (l->plan.n_rpc == 0)
 		return -1;
 	rpc = rpc_create(l->kernel);
-	a.open = l->plan.n_rpc;
+	a.unanswered = l->plan.n_rpc;
 	for (i = 0; i < l->plan.n_rpc; i++)
-		rpc_start(rpc, l->plan.rpc[i], ML_STATUS, NULL, STATUS_TIMEOUT_US, counter_told,
+		rpc_start(rpc, l->plan.rpc[i], ML_STATUS, NULL, STATUS_TIMEOUT_US, counter_received,
 			  &a);
 	event_base_dispatch(l->kernel->base);
 	rpc_free(rpc);
--- a/cmd/mangoloom-call.c
+++ b/cmd/mangoloom-call.c
@@ -1,4 +1,7 @@
-/** @file mangoloom-call.c Calls that wait: the command line has nothing else to do. */
+/**
+ * @file mangoloom-call.c Blocking calls to the platform and to daemons, and the exit codes of
+ * errors.
+ */
 #include "error.h"
 #include "mangoloom-cli.h"
 
@@ -19,7 +22,8 @@
 	return code;
 }
 
-struct waiting {
+/** A call whose answer ends the event loop. */
+struct pending_call {
 	struct event_base *base;
 	struct platform_answer *answer;
 	xdrproc_t codec;
@@ -41,7 +45,7 @@
 
 static void platform_answered(const struct platform_answer *a, void *arg)
 {
-	struct waiting *w = arg;
+	struct pending_call *w = arg;
 
 	w->answer = g_new0(struct platform_answer, 1);
 	*w->answer = *a;
@@ -58,7 +62,7 @@
 
 struct platform_answer *cli_range(struct cli *cli, const char *key, const char *end)
 {
-	struct waiting w = {.base = cli->kernel->base};
+	struct pending_call w = {.base = cli->kernel->base};
 
 	platform_range(cli->platform, key, end, platform_answered, &w);
 	event_base_dispatch(cli->kernel->base);
@@ -68,7 +72,7 @@
 struct platform_answer *cli_cas(struct cli *cli, const char *key, int64_t mod_revision,
 				const struct platform_write *writes, unsigned n)
 {
-	struct waiting w = {.base = cli->kernel->base};
+	struct pending_call w = {.base = cli->kernel->base};
 
 	platform_cas(cli->platform, key, mod_revision, writes, n, platform_answered, &w);
 	event_base_dispatch(cli->kernel->base);
@@ -77,11 +81,11 @@
 
 static void call_answered(enum rpc_status status, const void *res, void *arg)
 {
-	struct waiting *w = arg;
+	struct pending_call *w = arg;
 
 	w->ok = status == RPC_DONE;
 	if (w->ok) {
-		/* The library frees its result after this; keep a copy made through the codec. */
+		/* The RPC layer frees the result after the callback: copy it through XDR. */
 		u_long len = xdr_sizeof(w->codec, (void *)res);
 		char *bytes = g_malloc(len + 1);
 		XDR x;
@@ -102,7 +106,7 @@
 	      int64_t timeout_us)
 {
 	const struct rpc_proc *p = &rpc_procs[proc];
-	struct waiting w = {
+	struct pending_call w = {
 		.base = cli->kernel->base, .codec = p->res, .res = res, .res_size = p->res_size};
 
 	rpc_start(cli->rpc, address, proc, args, timeout_us, call_answered, &w);
--- a/cmd/mangoloom-cli.h
+++ b/cmd/mangoloom-cli.h
@@ -1,7 +1,11 @@
 /**
  * @file mangoloom-cli.h
- * What the operators' commands share: options, waiting calls to the platform and to daemons, and
- * the stored tables.
+ * Shared by the commands of the operators' tool: options, blocking calls to the platform and to
+ * daemons, and access to the stored configuration tables.
+ *
+ * A pool is a database group as configured. A conf_entry is one row of the stored configuration,
+ * such as a route, a pool, a team key or an evacuation; it is unrelated to the entry daemon, the
+ * one a caller is connected to.
  */
 #ifndef MANGOLOOM_CLI_H
 #define MANGOLOOM_CLI_H
@@ -13,19 +17,19 @@
 #include "table.h"
 #include "version.h"
 
-/** Words on a command line: a command, and for `explain` the logs of many VMs. */
-#define CLI_WORDS_MAX 256
+/** Positional arguments: the command and its own, which for `explain` are the logs of many VMs. */
+#define CLI_ARGS_MAX 256
 
-/** Options, before their command's own use of them. */
+/** Parsed command line. */
 struct cli_options {
-	const char *routes; /**< file, or NULL */
-	const char *pools;
-	const char *settings;
-	const char *by; /**< who makes the change, for the history */
-	int wait_ms;	/**< for VMs to confirm a change */
+	const char *routes;   /**< file, or NULL */
+	const char *pools;    /**< file, or NULL */
+	const char *settings; /**< file, or NULL */
+	const char *by;	      /**< who makes the change, for the history */
+	int wait_ms;	      /**< time to wait for the VMs to confirm a change */
 	bool json;
-	const char **words; /**< what follows the command */
-	int n_words;
+	const char **args; /**< arguments of the command */
+	int n_args;
 };
 
 struct cli {
@@ -36,80 +40,84 @@
 	struct cli_options opt;
 };
 
-/** A command. @return an exit code */
 struct cli_command {
 	const char *name;
-	const char *words; /**< what follows it */
+	const char *args; /**< their syntax, for the usage line */
 	const char *help;
-	int least_words;
-	int most_words;
-	bool offline; /**< needs no platform */
-	int (*run)(struct cli *cli);
+	int min_args;
+	int max_args;
+	bool offline;		     /**< needs no platform */
+	int (*run)(struct cli *cli); /**< returns an exit code */
 };
 
 extern const struct cli_command cli_commands[];
 extern const unsigned cli_n_commands;
 
-/** Print "mangoloom: ..." to standard error. @return @a code */
+/** Prints "mangoloom: ..." to standard error. @return @a code */
 int cli_fail(int code, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/** The exit code that belongs to @a error, which is printed and freed. */
+/** Prints and frees @a error. @return the exit code for it */
 int cli_fail_error(GError *error);
 
-/* Waiting calls */
+/* Blocking calls; they run the event loop until the answer arrives. */
 struct platform_answer *cli_range(struct cli *cli, const char *key, const char *end);
 struct platform_answer *cli_cas(struct cli *cli, const char *key, int64_t mod_revision,
 				const struct platform_write *writes, unsigned n);
 void cli_answer_free(struct platform_answer *a);
-/** Call a daemon. @return false when no answer came; else *res is to be freed with xdr_free(). */
+/** Calls a daemon. @return false if no answer came; else the caller frees *res with xdr_free(). */
 bool cli_call(struct cli *cli, const char *address, u_int proc, const void *args, void *res,
 	      int64_t timeout_us);
-/** Let the loop run for @a us. */
+/** Runs the event loop for @a us. */
 void cli_pause(struct cli *cli, int64_t us);
 
-/** A VM of the platform's list. */
 struct cli_vm {
 	char name[NAME_SIZE];
 	char address[ADDRESS_SIZE];
 };
-/** The platform's list of VMs, as an array of cli_vm; NULL when the platform does not answer. */
+/** Returns the platform's list of VMs (cli_vm); NULL if the platform does not answer. */
 GArray *cli_vms(struct cli *cli);
 
-/* The stored tables */
-struct store {
+/** The stored tables, as read at one revision. */
+struct store_snapshot {
 	uint64_t version;
 	uint64_t table_version[TABLES];
-	int64_t head_revision;
-	char change[NAME_SIZE]; /**< id of the change that made this version */
-	GPtrArray *entries;	/**< of conf_entry */
+	int64_t head_revision;	   /**< mod_revision of PLATFORM_HEAD, compared on commit */
+	char commit_id[NAME_SIZE]; /**< id of the commit that wrote this version */
+	GPtrArray *entries;	   /**< of conf_entry */
 };
 
-/** Read everything. */
-struct store *store_read(struct cli *cli, GError **error);
-void store_free(struct store *s);
-/** The entry named @a id among @a entries; NULL for none. */
+/** Reads the head and all entries. */
+struct store_snapshot *store_read(struct cli *cli, GError **error);
+void store_free(struct store_snapshot *s);
+/** Returns the entry with @a id among @a entries; NULL if there is none. */
 const struct conf_entry *store_find(const GPtrArray *entries, const char *id);
-/** A change to be made: entries to put, and ids to remove. */
+/** A change to commit. */
 struct store_change {
 	GPtrArray *puts;    /**< of conf_entry */
 	GPtrArray *removes; /**< of ids */
-	bool touches[TABLES];
-	const char *summary;
+	bool table_changed[TABLES];
+	const char *summary; /**< for the history */
 };
 /**
- * Make the change on top of @a s. A lost answer is resolved by the change's id.
+ * Commits the change if the store is still at the revision of @a s. If the answer is lost, reads
+ * the head to see whether it has the id of this commit.
  * @return the new version, or 0 with @a error
  */
-uint64_t store_commit(struct cli *cli, const struct store *s, const struct store_change *c,
+uint64_t store_commit(struct cli *cli, const struct store_snapshot *s, const struct store_change *c,
 		      GError **error);
 /**
- * Put @a e in force, or remove it, on top of whatever else changes meanwhile.
+ * Puts or removes one entry. Retries on top of concurrent changes.
  * @return the version, or 0 with @a error
  */
 uint64_t store_put_entry(struct cli *cli, struct conf_entry *e, const char *summary,
 			 GError **error);
 uint64_t store_remove_entry(struct cli *cli, const char *id, const char *summary, GError **error);
-/** Wait until all VMs have @a version, and tell of those that do not. @return an exit code */
-int store_wait(struct cli *cli, uint64_t version, const char *what);
+/**
+ * Waits until all VMs have @a version or opt.wait_ms has passed; then reports the VMs that have not
+ * confirmed it.
+ * @param what subject of the error message, such as "the change"
+ * @return an exit code
+ */
+int store_wait_confirmed(struct cli *cli, uint64_t version, const char *what);
 
 /* Commands */
 int cmd_check(struct cli *cli);
--- a/cmd/mangoloom-evacuate.c
+++ b/cmd/mangoloom-evacuate.c
@@ -1,12 +1,12 @@
-/** @file mangoloom-evacuate.c Commands on data centres: evacuate, restore. */
+/** @file mangoloom-evacuate.c The commands evacuate and restore, on data centres. */
 #include "error.h"
 #include "mangoloom-cli.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/** Whether some pool has a member in @a data_center. */
-static bool has_members(const struct store *s, const char *data_center)
+/** Returns whether any pool has a member in @a data_center. */
+static bool has_members(const struct store_snapshot *s, const char *data_center)
 {
 	unsigned j;
 	guint i;
@@ -22,32 +22,32 @@
 	return false;
 }
 
-/** Put the evacuation of a data centre in force, or end it, and wait until all VMs know. */
+/** Begins or ends the evacuation of a data centre, and waits for all VMs to confirm it. */
 static int set_evacuated(struct cli *cli, bool on)
 {
-	const char *name = cli->opt.words[0];
+	const char *name = cli->opt.args[0];
 	struct conf_evacuation body = {0};
 	GError *error = NULL;
 	struct conf_entry *e;
-	bool known, is_on;
+	bool has_member, is_on;
 	uint64_t version;
-	struct store *s;
+	struct store_snapshot *s;
 	char *summary;
 
 	if (strlen(name) >= NAME_SIZE)
-		return cli_fail(EXIT_USAGE, "%s is too long for a data centre", name);
+		return cli_fail(EXIT_USAGE, "data centre name %s is too long", name);
 	s = store_read(cli, &error);
 	if (s == NULL)
 		return cli_fail_error(error);
 	g_strlcpy(body.data_center, name, sizeof(body.data_center));
 	e = table_entry_make(CONF_EVACUATION, &body);
-	known = has_members(s, name);
+	has_member = has_members(s, name);
 	is_on = store_find(s->entries, e->id) != NULL;
 	version = s->version;
 	store_free(s);
-	if (on && !known) {
+	if (on && !has_member) {
 		conf_entry_unref(e);
-		return cli_fail(EXIT_FAILED, "no member is in data centre %s", name);
+		return cli_fail(EXIT_FAILED, "no pool has a member in data centre %s", name);
 	}
 	summary = g_strdup_printf("%s %s", name, on ? "evacuated" : "restored");
 	if (on != is_on)
@@ -57,7 +57,8 @@
 	g_free(summary);
 	if (version == 0)
 		return cli_fail_error(error);
-	if (store_wait(cli, version, on ? "the evacuation" : "the return") != EXIT_OK)
+	if (store_wait_confirmed(cli, version,
+				 on ? "the evacuation" : "the end of the evacuation") != EXIT_OK)
 		return EXIT_PARTIAL;
 	printf("%s is %s on all VMs\n", name, on ? "evacuated" : "restored");
 	return EXIT_OK;
--- a/cmd/mangoloom-explain.c
+++ b/cmd/mangoloom-explain.c
@@ -1,16 +1,17 @@
 /**
  * @file mangoloom-explain.c
- * The story of one request out of the logs of several VMs: its own lines in order, and the beliefs
- * about its database, its team and the store that were in force when it came.
+ * Traces one request through the logs of several VMs: prints the log lines of the request in order
+ * of time, and the state of its pool, its team and the VMs involved, as logged before the request
+ * arrived.
  */
 #include "mangoloom-cli.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/** A line of a log. */
+/** A parsed log line; fields that the line lacks are NULL. */
 struct line {
-	char *text; /**< from its time on */
+	char *text; /**< from the timestamp on */
 	char *vm;
 	char *event;
 	char *request;
@@ -18,56 +19,57 @@
 	char *team;
 };
 
-/** What is told of a belief: it is of a pool, of a team, or of a VM as a whole. */
-enum subject { OF_POOL, OF_TEAM, OF_VM };
+/** What a state event describes: a pool, a team, or a VM as a whole. */
+enum event_subject { SUBJECT_POOL, SUBJECT_TEAM, SUBJECT_VM };
 
+/** Log events that report state, as opposed to the progress of a request. */
 static const struct {
 	const char *event;
-	enum subject subject;
-} beliefs[] = {
-	{"group-state", OF_POOL},
-	{"primary", OF_POOL},
-	{"owner", OF_POOL},
-	{"owner-known", OF_POOL},
-	{"owner-ends", OF_POOL},
-	{"claim", OF_POOL},
-	{"hand-over", OF_POOL},
-	{"yield", OF_POOL},
-	{"fenced", OF_POOL},
-	{"change-of-primary", OF_POOL},
-	{"chosen", OF_POOL},
-	{"promote", OF_POOL},
-	{"promotion-answered", OF_POOL},
-	{"member-down", OF_POOL},
-	{"member-up", OF_POOL},
-	{"member-role", OF_POOL},
-	{"member-state", OF_POOL},
-	{"member-lapsed", OF_POOL},
-	{"reach", OF_POOL},
-	{"reads-begin", OF_POOL},
-	{"reads-end", OF_POOL},
-	{"connection-refused", OF_POOL},
-	{"connection-silent", OF_POOL},
-	{"team-rate", OF_TEAM},
-	{"rates", OF_VM},
-	{"conf", OF_VM},
-	{"document", OF_VM},
-	{"store-lost", OF_VM},
-	{"store-regained", OF_VM},
-	{"lease-held", OF_VM},
-	{"lease-lost", OF_VM},
-	{"started", OF_VM},
-	{"draining", OF_VM},
-	{"vm-dead", OF_VM},
-	{"vm-suspect", OF_VM},
+	enum event_subject subject;
+} state_events[] = {
+	{"group-state", SUBJECT_POOL},
+	{"primary", SUBJECT_POOL},
+	{"owner", SUBJECT_POOL},
+	{"owner-known", SUBJECT_POOL},
+	{"owner-ends", SUBJECT_POOL},
+	{"claim", SUBJECT_POOL},
+	{"hand-over", SUBJECT_POOL},
+	{"yield", SUBJECT_POOL},
+	{"fenced", SUBJECT_POOL},
+	{"change-of-primary", SUBJECT_POOL},
+	{"chosen", SUBJECT_POOL},
+	{"promote", SUBJECT_POOL},
+	{"promotion-answered", SUBJECT_POOL},
+	{"member-down", SUBJECT_POOL},
+	{"member-up", SUBJECT_POOL},
+	{"member-role", SUBJECT_POOL},
+	{"member-state", SUBJECT_POOL},
+	{"member-lapsed", SUBJECT_POOL},
+	{"reach", SUBJECT_POOL},
+	{"reads-begin", SUBJECT_POOL},
+	{"reads-end", SUBJECT_POOL},
+	{"connection-refused", SUBJECT_POOL},
+	{"connection-silent", SUBJECT_POOL},
+	{"team-rate", SUBJECT_TEAM},
+	{"rates", SUBJECT_VM},
+	{"conf", SUBJECT_VM},
+	{"document", SUBJECT_VM},
+	{"store-lost", SUBJECT_VM},
+	{"store-regained", SUBJECT_VM},
+	{"lease-held", SUBJECT_VM},
+	{"lease-lost", SUBJECT_VM},
+	{"started", SUBJECT_VM},
+	{"draining", SUBJECT_VM},
+	{"vm-dead", SUBJECT_VM},
+	{"vm-suspect", SUBJECT_VM},
 };
 
-static int belief_of(const char *event)
+static int state_event_find(const char *event)
 {
 	unsigned i;
 
-	for (i = 0; i < G_N_ELEMENTS(beliefs); i++) {
-		if (strcmp(beliefs[i].event, event) == 0)
+	for (i = 0; i < G_N_ELEMENTS(state_events); i++) {
+		if (strcmp(state_events[i].event, event) == 0)
 			return (int)i;
 	}
 	return -1;
@@ -86,8 +88,8 @@
 	g_free(l);
 }
 
-/** The value of @a key in a line; NULL when it has none. */
-static char *value_of(const char *text, const char *key)
+/** Returns the value of @a key in a log line, to g_free(); NULL if the line lacks it. */
+static char *field_value(const char *text, const char *key)
 {
 	char *pattern = g_strdup_printf(" %s=", key);
 	const char *at = strstr(text, pattern);
@@ -103,8 +105,8 @@
 	return g_strndup(*at == '"' ? at + 1 : at, len);
 }
 
-/** Keep a line that tells of something; whatever stands before its time is left out. */
-static void take_line(GPtrArray *lines, const char *text)
+/** Adds a line if it has the fields vm and event; cuts off any text before its timestamp. */
+static void add_line(GPtrArray *lines, const char *text)
 {
 	const char *vm = strstr(text, " vm=");
 	const char *start = vm;
@@ -112,7 +114,7 @@
 
 	if (vm == NULL || strstr(text, " event=") == NULL)
 		return;
-	/* The time and the level stand before the VM's name. */
+	/* The timestamp and the level precede " vm=": go back two words. */
 	while (start > text && start[-1] != ' ')
 		start--;
 	if (start > text)
@@ -121,11 +123,11 @@
 		start--;
 	l = g_new0(struct line, 1);
 	l->text = g_strdup(start);
-	l->vm = value_of(text, "vm");
-	l->event = value_of(text, "event");
-	l->request = value_of(text, "request");
-	l->pool = value_of(text, "pool");
-	l->team = value_of(text, "team");
+	l->vm = field_value(text, "vm");
+	l->event = field_value(text, "event");
+	l->request = field_value(text, "request");
+	l->pool = field_value(text, "pool");
+	l->team = field_value(text, "team");
 	g_ptr_array_add(lines, l);
 }
 
@@ -138,14 +140,14 @@
 		return false;
 	split = g_strsplit(text, "\n", -1);
 	for (i = 0; split[i] != NULL; i++)
-		take_line(lines, split[i]);
+		add_line(lines, split[i]);
 	g_strfreev(split);
 	g_free(text);
 	return true;
 }
 
-/** Lines begin with their times, which sort as texts. */
-static gint by_time(gconstpointer a, gconstpointer b)
+/** Compares lines by time: each starts with a timestamp that sorts as a string. */
+static gint compare_time(gconstpointer a, gconstpointer b)
 {
 	const struct line *const *x = a;
 	const struct line *const *y = b;
@@ -153,13 +155,14 @@
 	return strcmp((*x)->text, (*y)->text);
 }
 
-struct story {
+/** The request that is explained, and what its log lines mention. */
+struct request_trace {
 	const char *id;
-	char *first, *last; /**< texts of its first and last line */
+	char *first, *last; /**< text of its first and last log line */
 	GHashTable *pools, *teams, *vms;
 };
 
-static void story_begin(struct story *s, GPtrArray *lines)
+static void trace_scan(struct request_trace *s, GPtrArray *lines)
 {
 	guint i;
 
@@ -179,17 +182,17 @@
 	}
 }
 
-/** Whether a belief is about what the request had to do with. */
-static bool concerns(const struct story *s, const struct line *l)
+/** Returns whether a line reports the state of a pool, team or VM that the request involves. */
+static bool trace_concerns(const struct request_trace *s, const struct line *l)
 {
-	int i = belief_of(l->event);
+	int i = state_event_find(l->event);
 
 	if (i < 0)
 		return false;
-	switch (beliefs[i].subject) {
-	case OF_POOL:
+	switch (state_events[i].subject) {
+	case SUBJECT_POOL:
 		return l->pool != NULL && g_hash_table_contains(s->pools, l->pool);
-	case OF_TEAM:
+	case SUBJECT_TEAM:
 		return l->team != NULL && g_hash_table_contains(s->teams, l->team) &&
 		       g_hash_table_contains(s->vms, l->vm);
 	default:
@@ -197,11 +200,11 @@
 	}
 }
 
-/** The last line of each belief before the request came. */
-static void print_before(const struct story *s, GPtrArray *lines)
+/** Prints the last line of each state event before the request arrived. */
+static void print_state_before(const struct request_trace *s, GPtrArray *lines)
 {
-	GHashTable *newest = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	GPtrArray *in_force = g_ptr_array_new();
+	GHashTable *by_event = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	GPtrArray *latest = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
 	guint i;
@@ -211,35 +214,35 @@
 
 		if (strcmp(l->text, s->first) >= 0)
 			break;
-		if (concerns(s, l))
-			g_hash_table_replace(newest,
+		if (trace_concerns(s, l))
+			g_hash_table_replace(by_event,
 					     g_strdup_printf("%s %s %s", l->vm, l->event,
 							     l->pool != NULL ? l->pool : ""),
 					     l);
 	}
-	g_hash_table_iter_init(&iter, newest);
+	g_hash_table_iter_init(&iter, by_event);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		g_ptr_array_add(in_force, value);
-	g_ptr_array_sort(in_force, by_time);
-	printf("Believed when it came:\n");
-	for (i = 0; i < in_force->len; i++)
-		printf("  %s\n", ((struct line *)g_ptr_array_index(in_force, i))->text);
-	g_ptr_array_unref(in_force);
-	g_hash_table_destroy(newest);
+		g_ptr_array_add(latest, value);
+	g_ptr_array_sort(latest, compare_time);
+	printf("State when the request arrived:\n");
+	for (i = 0; i < latest->len; i++)
+		printf("  %s\n", ((struct line *)g_ptr_array_index(latest, i))->text);
+	g_ptr_array_unref(latest);
+	g_hash_table_destroy(by_event);
 }
 
-static void print_during(const struct story *s, GPtrArray *lines)
+static void print_request_log(const struct request_trace *s, GPtrArray *lines)
 {
 	guint i;
 
-	printf("Its course, with what changed meanwhile (marked \"~\"):\n");
+	printf("Log of the request, with concurrent changes of state (marked \"~\"):\n");
 	for (i = 0; i < lines->len; i++) {
 		struct line *l = g_ptr_array_index(lines, i);
 		bool own = g_strcmp0(l->request, s->id) == 0;
 
 		if (strcmp(l->text, s->first) < 0 || strcmp(l->text, s->last) > 0)
 			continue;
-		if (own || concerns(s, l))
+		if (own || trace_concerns(s, l))
 			printf("%s %s\n", own ? " " : "~", l->text);
 	}
 }
@@ -247,23 +250,23 @@
 int cmd_explain(struct cli *cli)
 {
 	GPtrArray *lines = g_ptr_array_new_with_free_func(line_free);
-	struct story s = {.id = cli->opt.words[0]};
+	struct request_trace s = {.id = cli->opt.args[0]};
 	int code = EXIT_OK, i;
 
-	for (i = 1; i < cli->opt.n_words && code == EXIT_OK; i++) {
-		if (!read_log(lines, cli->opt.words[i]))
-			code = cli_fail(EXIT_FAILED, "%s cannot be read", cli->opt.words[i]);
+	for (i = 1; i < cli->opt.n_args && code == EXIT_OK; i++) {
+		if (!read_log(lines, cli->opt.args[i]))
+			code = cli_fail(EXIT_FAILED, "cannot read %s", cli->opt.args[i]);
 	}
-	g_ptr_array_sort(lines, by_time);
+	g_ptr_array_sort(lines, compare_time);
 	s.pools = g_hash_table_new(g_str_hash, g_str_equal);
 	s.teams = g_hash_table_new(g_str_hash, g_str_equal);
 	s.vms = g_hash_table_new(g_str_hash, g_str_equal);
-	story_begin(&s, lines);
+	trace_scan(&s, lines);
 	if (code == EXIT_OK && s.first == NULL) {
-		code = cli_fail(EXIT_FAILED, "no line tells of request %s", s.id);
+		code = cli_fail(EXIT_FAILED, "no log line of request %s found", s.id);
 	} else if (code == EXIT_OK) {
-		print_before(&s, lines);
-		print_during(&s, lines);
+		print_state_before(&s, lines);
+		print_request_log(&s, lines);
 	}
 	g_hash_table_destroy(s.pools);
 	g_hash_table_destroy(s.teams);
--- a/cmd/mangoloom-fleet.c
+++ b/cmd/mangoloom-fleet.c
@@ -1,4 +1,4 @@
-/** @file mangoloom-fleet.c Commands on VMs: status, stop. */
+/** @file mangoloom-fleet.c The commands status and stop, on VMs. */
 #include "mangoloom-cli.h"
 
 #include <stdio.h>
@@ -73,11 +73,11 @@
 		const struct cli_vm *vm = &g_array_index(vms, struct cli_vm, i);
 		ml_status_res res;
 
-		if (cli->opt.n_words > 0 && strcmp(cli->opt.words[0], vm->name) != 0)
+		if (cli->opt.n_args > 0 && strcmp(cli->opt.args[0], vm->name) != 0)
 			continue;
 		found = true;
 		if (!cli_call(cli, vm->address, ML_STATUS, NULL, &res, STATUS_TIMEOUT_US)) {
-			code = cli_fail(EXIT_PARTIAL, "%s does not answer", vm->name);
+			code = cli_fail(EXIT_PARTIAL, "VM %s does not answer", vm->name);
 			continue;
 		}
 		if (cli->opt.json)
@@ -87,8 +87,9 @@
 		xdr_free((xdrproc_t)xdr_ml_status_res, &res);
 	}
 	g_array_unref(vms);
-	if (!found && cli->opt.n_words > 0)
-		return cli_fail(EXIT_FAILED, "the platform lists no VM %s", cli->opt.words[0]);
+	if (!found && cli->opt.n_args > 0)
+		return cli_fail(EXIT_FAILED, "VM %s is not in the platform's list",
+				cli->opt.args[0]);
 	return code;
 }
 
@@ -104,15 +105,15 @@
 		ml_status_res res;
 		bool ok;
 
-		if (strcmp(cli->opt.words[0], vm->name) != 0)
+		if (strcmp(cli->opt.args[0], vm->name) != 0)
 			continue;
 		ok = cli_call(cli, vm->address, ML_STOP, NULL, &res, STATUS_TIMEOUT_US);
 		if (ok)
 			xdr_free((xdrproc_t)xdr_ml_status_res, &res);
 		g_array_unref(vms);
 		return ok ? EXIT_OK
-			  : cli_fail(EXIT_FAILED, "%s does not answer", cli->opt.words[0]);
+			  : cli_fail(EXIT_FAILED, "VM %s does not answer", cli->opt.args[0]);
 	}
 	g_array_unref(vms);
-	return cli_fail(EXIT_FAILED, "the platform lists no VM %s", cli->opt.words[0]);
+	return cli_fail(EXIT_FAILED, "VM %s is not in the platform's list", cli->opt.args[0]);
 }
--- a/cmd/mangoloom-key.c
+++ b/cmd/mangoloom-key.c
@@ -1,4 +1,4 @@
-/** @file mangoloom-key.c Commands on team keys: give, withdraw, list. */
+/** @file mangoloom-key.c The command key: gives, withdraws and lists team keys. */
 #include "error.h"
 #include "key.h"
 #include "mangoloom-cli.h"
@@ -23,18 +23,18 @@
 	g_free(summary);
 	if (version == 0)
 		return cli_fail_error(error);
-	/* The only time that the key is shown: what is kept is its hash. */
+	/* The key is shown only here: the store keeps nothing but its hash. */
 	if (cli->opt.json)
 		printf("{\"id\":\"%s\",\"team\":\"%s\",\"key\":\"%s\",\"version\":%lu}\n", key.id,
 		       team, text, version);
 	else
 		printf("%s\n", text);
 	fflush(stdout);
-	code = store_wait(cli, version, "the key");
+	code = store_wait_confirmed(cli, version, "the key");
 	return code;
 }
 
-static const struct conf_entry *key_find(const struct store *s, const char *id)
+static const struct conf_entry *key_find(const struct store_snapshot *s, const char *id)
 {
 	guint i;
 
@@ -55,7 +55,7 @@
 	struct conf_entry *e;
 	struct conf_key key;
 	uint64_t version;
-	struct store *s;
+	struct store_snapshot *s;
 
 	s = store_read(cli, &error);
 	if (s == NULL)
@@ -63,7 +63,7 @@
 	old = key_find(s, id);
 	if (old == NULL) {
 		store_free(s);
-		return cli_fail(EXIT_FAILED, "there is no key %s", id);
+		return cli_fail(EXIT_FAILED, "no key has the id %s", id);
 	}
 	key = old->key;
 	key.withdrawn = true;
@@ -74,7 +74,7 @@
 	g_free(summary);
 	if (version == 0)
 		return cli_fail_error(error);
-	if (store_wait(cli, version, "the withdrawal") != EXIT_OK)
+	if (store_wait_confirmed(cli, version, "the withdrawal") != EXIT_OK)
 		return EXIT_PARTIAL;
 	printf("withdrawn on all VMs\n");
 	return EXIT_OK;
@@ -83,7 +83,7 @@
 static int key_list(struct cli *cli)
 {
 	GError *error = NULL;
-	struct store *s = store_read(cli, &error);
+	struct store_snapshot *s = store_read(cli, &error);
 	guint i;
 
 	if (s == NULL)
@@ -103,13 +103,13 @@
 
 int cmd_key(struct cli *cli)
 {
-	const char *word = cli->opt.words[0];
+	const char *action = cli->opt.args[0];
 
-	if (strcmp(word, "list") == 0 && cli->opt.n_words == 1)
+	if (strcmp(action, "list") == 0 && cli->opt.n_args == 1)
 		return key_list(cli);
-	if (strcmp(word, "give") == 0 && cli->opt.n_words == 2)
-		return key_give(cli, cli->opt.words[1]);
-	if (strcmp(word, "withdraw") == 0 && cli->opt.n_words == 2)
-		return key_withdraw(cli, cli->opt.words[1]);
+	if (strcmp(action, "give") == 0 && cli->opt.n_args == 2)
+		return key_give(cli, cli->opt.args[1]);
+	if (strcmp(action, "withdraw") == 0 && cli->opt.n_args == 2)
+		return key_withdraw(cli, cli->opt.args[1]);
 	return cli_fail(EXIT_USAGE, "usage: mangoloom key give TEAM | withdraw ID | list");
 }
--- a/cmd/mangoloom-store.c
+++ b/cmd/mangoloom-store.c
@@ -1,6 +1,6 @@
 /**
- * @file mangoloom-store.c The tables as the platform keeps them, and changes to them by
- * compare-and-swap.
+ * @file mangoloom-store.c Reads the configuration tables from the platform's key-value service and
+ * changes them by compare-and-swap.
  */
 #include "error.h"
 #include "mangoloom-cli.h"
@@ -9,21 +9,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Tries of a change of one entry, each on top of what others changed. */
-#define ENTRY_TRIES 20
-/** Tries of one change while answers are lost. */
-#define COMMIT_TRIES 5
+/** Attempts to change one entry; after a conflict, the next one starts from a new snapshot. */
+#define ENTRY_ATTEMPTS_MAX 20
+/** Attempts of one commit while answers are lost. */
+#define COMMIT_ATTEMPTS_MAX 5
 #define RETRY_PAUSE_US (200 * USEC_PER_MSEC)
-/** Changes kept in the history. */
-#define HISTORY_MAX 200
-
-void store_free(struct store *s)
+/** Timeout of the call that asks a VM for its version. */
+#define VERSION_TIMEOUT_US (500 * USEC_PER_MSEC)
+/** Pause between two rounds of asking the VMs for their version. */
+#define CONFIRM_POLL_US (50 * USEC_PER_MSEC)
+/** Number of changes kept in the history. */
+#define HISTORY_CHANGES_MAX 200
+
+void store_free(struct store_snapshot *s)
 {
 	g_ptr_array_unref(s->entries);
 	g_free(s);
 }
 
-static void read_head(struct store *s, const struct platform_kv *kv)
+static void read_head(struct store_snapshot *s, const struct platform_kv *kv)
 {
 	JsonParser *parser = json_parser_new();
 	JsonObject *o;
@@ -33,8 +37,8 @@
 	if (json_parser_load_from_data(parser, kv->value, -1, NULL)) {
 		o = json_node_get_object(json_parser_get_root(parser));
 		s->version = (uint64_t)json_object_get_int_member_with_default(o, "version", 0);
-		g_strlcpy(s->change, json_object_get_string_member_with_default(o, "change", ""),
-			  sizeof(s->change));
+		g_strlcpy(s->commit_id, json_object_get_string_member_with_default(o, "change", ""),
+			  sizeof(s->commit_id));
 		for (i = 0; i < TABLES; i++)
 			s->table_version[i] = (uint64_t)json_object_get_int_member_with_default(
 				o, table_name((enum table_which)i), 0);
@@ -42,7 +46,7 @@
 	g_object_unref(parser);
 }
 
-static bool read_entry(struct store *s, const struct platform_kv *kv, GError **error)
+static bool read_entry(struct store_snapshot *s, const struct platform_kv *kv, GError **error)
 {
 	char *text;
 	uint64_t version = strtoul(kv->value, &text, 10);
@@ -55,10 +59,10 @@
 	return true;
 }
 
-struct store *store_read(struct cli *cli, GError **error)
+struct store_snapshot *store_read(struct cli *cli, GError **error)
 {
 	struct platform_answer *a = cli_range(cli, PLATFORM_CONF, PLATFORM_CONF_END);
-	struct store *s;
+	struct store_snapshot *s;
 	guint i;
 
 	if (!a->ok) {
@@ -67,7 +71,7 @@
 			    "the platform's service does not answer");
 		return NULL;
 	}
-	s = g_new0(struct store, 1);
+	s = g_new0(struct store_snapshot, 1);
 	s->entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
 	for (i = 0; i < a->kvs->len; i++) {
 		const struct platform_kv *kv = g_ptr_array_index(a->kvs, i);
@@ -91,17 +95,18 @@
 	g_array_append_val(writes, w);
 }
 
-static char *head_text(const struct store *s, const struct store_change *c, const char *id)
+static char *head_text(const struct store_snapshot *s, const struct store_change *c, const char *id)
 {
 	uint64_t next = s->version + 1;
-	uint64_t routes = c->touches[TABLE_ROUTES] ? next : s->table_version[TABLE_ROUTES];
-	uint64_t pools = c->touches[TABLE_POOLS] ? next : s->table_version[TABLE_POOLS];
+	uint64_t routes = c->table_changed[TABLE_ROUTES] ? next : s->table_version[TABLE_ROUTES];
+	uint64_t pools = c->table_changed[TABLE_POOLS] ? next : s->table_version[TABLE_POOLS];
 
 	return g_strdup_printf("{\"version\":%lu,\"change\":\"%s\",\"routes\":%lu,\"pools\":%lu}",
 			       next, id, routes, pools);
 }
 
-static char *history_text(struct cli *cli, const struct store *s, const struct store_change *c)
+static char *history_text(struct cli *cli, const struct store_snapshot *s,
+			  const struct store_change *c)
 {
 	GDateTime *now = g_date_time_new_now_utc();
 	char *when = g_date_time_format_iso8601(now);
@@ -121,8 +126,8 @@
 	return text;
 }
 
-static GArray *change_writes(struct cli *cli, const struct store *s, const struct store_change *c,
-			     const char *id)
+static GArray *change_writes(struct cli *cli, const struct store_snapshot *s,
+			     const struct store_change *c, const char *id)
 {
 	GArray *writes = g_array_new(FALSE, TRUE, sizeof(struct platform_write));
 	uint64_t next = s->version + 1;
@@ -131,8 +136,9 @@
 	add_write(writes, g_strdup(PLATFORM_HEAD), head_text(s, c, id));
 	add_write(writes, g_strdup_printf(PLATFORM_HISTORY "%012lu", next),
 		  history_text(cli, s, c));
-	if (next > HISTORY_MAX)
-		add_write(writes, g_strdup_printf(PLATFORM_HISTORY "%012lu", next - HISTORY_MAX),
+	if (next > HISTORY_CHANGES_MAX)
+		add_write(writes,
+			  g_strdup_printf(PLATFORM_HISTORY "%012lu", next - HISTORY_CHANGES_MAX),
 			  NULL);
 	for (i = 0; i < c->puts->len; i++) {
 		const struct conf_entry *e = g_ptr_array_index(c->puts, i);
@@ -159,60 +165,67 @@
 	g_array_unref(writes);
 }
 
+enum commit_status {
+	COMMIT_UNKNOWN = -2,
+	COMMIT_CONFLICT = -1, /**< another commit is in force */
+	COMMIT_PENDING = 0,   /**< not, or not yet, in force */
+	COMMIT_DONE = 1,
+};
+
 /**
- * No answer came, or the comparison failed. Whose change is in force tells: it may be this one,
- * made by a try whose answer was lost.
- * @return 1 this one, 0 not (yet) made, -1 another one, -2 not known
+ * Determines the outcome of commit @a id after a lost answer or a failed comparison, from the id in
+ * the head: an earlier attempt may have committed although its answer was lost.
  */
-static int whose_change(struct cli *cli, const struct store *s, const char *id)
+static enum commit_status commit_check(struct cli *cli, const struct store_snapshot *s,
+				       const char *id)
 {
-	struct store *now = store_read(cli, NULL);
-	int verdict = -1;
+	struct store_snapshot *now = store_read(cli, NULL);
+	enum commit_status status = COMMIT_CONFLICT;
 
 	if (now == NULL)
-		return -2;
-	if (strcmp(now->change, id) == 0)
-		verdict = 1;
+		return COMMIT_UNKNOWN;
+	if (strcmp(now->commit_id, id) == 0)
+		status = COMMIT_DONE;
 	else if (now->head_revision == s->head_revision)
-		verdict = 0;
+		status = COMMIT_PENDING;
 	store_free(now);
-	return verdict;
+	return status;
 }
 
-uint64_t store_commit(struct cli *cli, const struct store *s, const struct store_change *c,
+uint64_t store_commit(struct cli *cli, const struct store_snapshot *s, const struct store_change *c,
 		      GError **error)
 {
 	char *id = g_strdup_printf("%016lx", random_bits());
 	GArray *writes = change_writes(cli, s, c, id);
-	uint64_t made = 0;
-	int verdict = -2;
-	int try;
+	uint64_t version = 0;
+	enum commit_status status = COMMIT_UNKNOWN;
+	int attempt;
 
-	for (try = 0; try < COMMIT_TRIES && made == 0; try++) {
+	for (attempt = 0; attempt < COMMIT_ATTEMPTS_MAX && version == 0; attempt++) {
 		struct platform_answer *a =
 			cli_cas(cli, PLATFORM_HEAD, s->head_revision,
 				(const struct platform_write *)(void *)writes->data, writes->len);
 		bool done = a->ok && a->succeeded;
 
 		cli_answer_free(a);
-		verdict = done ? 1 : whose_change(cli, s, id);
-		if (verdict == 1)
-			made = s->version + 1;
-		if (verdict == -1)
+		status = done ? COMMIT_DONE : commit_check(cli, s, id);
+		if (status == COMMIT_DONE)
+			version = s->version + 1;
+		if (status == COMMIT_CONFLICT)
 			break;
-		if (verdict != 1)
+		if (status != COMMIT_DONE)
 			cli_pause(cli, RETRY_PAUSE_US);
 	}
-	if (verdict == -1)
+	if (status == COMMIT_CONFLICT)
 		g_set_error(error, ML_ERROR, ML_ERROR_CONFLICT,
-			    "someone else made a change first; nothing was changed");
-	else if (made == 0)
+			    "another change was committed first; nothing was changed");
+	else if (version == 0)
 		g_set_error(error, ML_ERROR, ML_ERROR_UNKNOWN,
 			    "the platform's service does not answer; whether the change was made "
 			    "is not known");
 	writes_free(writes);
 	g_free(id);
-	return made;
+	return version;
 }
 
 const struct conf_entry *store_find(const GPtrArray *entries, const char *id)
@@ -228,16 +241,16 @@
 	return NULL;
 }
 
-/** Make a change of one entry; others may make theirs meanwhile. */
+/** Puts @a put, or removes @a removed if @a put is NULL. Retries after a conflict. */
 static uint64_t change_entry(struct cli *cli, struct conf_entry *put, const char *removed,
 			     const char *summary, GError **error)
 {
 	uint64_t version = 0;
-	int try;
+	int attempt;
 
-	for (try = 0; try < ENTRY_TRIES && version == 0; try++) {
+	for (attempt = 0; attempt < ENTRY_ATTEMPTS_MAX && version == 0; attempt++) {
 		struct store_change c = {.summary = summary};
-		struct store *s;
+		struct store_snapshot *s;
 
 		g_clear_error(error);
 		s = store_read(cli, error);
@@ -269,49 +282,50 @@
 	return change_entry(cli, NULL, id, summary, error);
 }
 
-/** The version in force at a VM; 0 when it does not answer. */
+/** Returns the configuration version in force at a VM; 0 if it does not answer. */
 static uint64_t vm_version(struct cli *cli, const struct cli_vm *vm)
 {
 	ml_heartbeat ask = {.vm = ""};
 	ml_heartbeat res;
 	uint64_t version;
 
-	if (!cli_call(cli, vm->address, ML_HEARTBEAT, &ask, &res, 500 * USEC_PER_MSEC))
+	if (!cli_call(cli, vm->address, ML_HEARTBEAT, &ask, &res, VERSION_TIMEOUT_US))
 		return 0;
 	version = res.conf_version;
 	xdr_free((xdrproc_t)xdr_ml_heartbeat, &res);
 	return version;
 }
 
-int store_wait(struct cli *cli, uint64_t version, const char *what)
+int store_wait_confirmed(struct cli *cli, uint64_t version, const char *what)
 {
 	int64_t until = now_us() + cli->opt.wait_ms * USEC_PER_MSEC;
 	GArray *vms = cli_vms(cli);
-	GString *missing = g_string_new(NULL);
+	GString *unconfirmed = g_string_new(NULL);
 	int code = EXIT_OK;
 	guint i;
 
 	do {
-		g_string_truncate(missing, 0);
+		g_string_truncate(unconfirmed, 0);
 		for (i = 0; vms != NULL && i < vms->len; i++) {
 			const struct cli_vm *vm = &g_array_index(vms, struct cli_vm, i);
 
 			if (vm_version(cli, vm) < version)
-				g_string_append_printf(missing, " %s", vm->name);
+				g_string_append_printf(unconfirmed, " %s", vm->name);
 		}
-		if (missing->len == 0)
+		if (unconfirmed->len == 0)
 			break;
-		cli_pause(cli, 50 * USEC_PER_MSEC);
+		cli_pause(cli, CONFIRM_POLL_US);
 	} while (now_us() < until);
 	if (vms == NULL)
 		code = cli_fail(EXIT_PARTIAL,
-				"%s is made as version %lu; the list of VMs cannot be read", what,
-				version);
-	else if (missing->len > 0)
-		code = cli_fail(EXIT_PARTIAL, "%s is made as version %lu; not confirmed by:%s",
-				what, version, missing->str);
+				"%s was committed as version %lu; the list of VMs cannot be read",
+				what, version);
+	else if (unconfirmed->len > 0)
+		code = cli_fail(EXIT_PARTIAL,
+				"%s was committed as version %lu; not confirmed by:%s", what,
+				version, unconfirmed->str);
 	if (vms != NULL)
 		g_array_unref(vms);
-	g_string_free(missing, TRUE);
+	g_string_free(unconfirmed, TRUE);
 	return code;
 }
--- a/cmd/mangoloom-table.c
+++ b/cmd/mangoloom-table.c
@@ -1,21 +1,26 @@
-/** @file mangoloom-table.c Commands on the two tables: check, apply, get, diff, history. */
+/**
+ * @file mangoloom-table.c Commands on the tables of routes and pools: check, apply, get, diff,
+ * history.
+ */
 #include "error.h"
 #include "mangoloom-cli.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/** Tries of an apply while others change what it does not touch. */
-#define APPLY_TRIES 8
+/** Attempts of an apply while other commands change entries outside its tables. */
+#define APPLY_ATTEMPTS_MAX 8
+/** Ids in the summary of a change, at most this many put and as many removed. */
+#define SUMMARY_ENTRIES_MAX 20
 
-/** The tables that were named on the command line. */
-struct tables {
+/** The tables given on the command line. */
+struct given_tables {
 	bool given[TABLES];
 	const char *file[TABLES];
 	struct table table[TABLES];
 };
 
-static void tables_clear(struct tables *t)
+static void tables_clear(struct given_tables *t)
 {
 	int i;
 
@@ -23,7 +28,7 @@
 		table_clear(&t->table[i]);
 }
 
-static gboolean tables_load(struct cli *cli, struct tables *t, GError **error)
+static gboolean tables_load(struct cli *cli, struct given_tables *t, GError **error)
 {
 	int i;
 
@@ -45,12 +50,12 @@
 int cmd_check(struct cli *cli)
 {
 	struct settings settings;
-	struct tables t;
+	struct given_tables t;
 	GError *error = NULL;
 	gboolean ok;
 
 	if (cli->opt.routes == NULL && cli->opt.pools == NULL && cli->opt.settings == NULL)
-		return cli_fail(EXIT_USAGE, "--routes, --pools or --settings is needed");
+		return cli_fail(EXIT_USAGE, "--routes, --pools or --settings is required");
 	ok = tables_load(cli, &t, &error);
 	ok = ok &&
 	     (cli->opt.settings == NULL || settings_load(cli->opt.settings, &settings, &error));
@@ -61,8 +66,9 @@
 	return EXIT_OK;
 }
 
-/** What has to change in the store for the given tables to be in force. */
-static void change_fill(const struct store *s, const struct tables *t, struct store_change *c)
+/** Computes the difference from the stored tables to the given ones. Free with change_clear(). */
+static void change_compute(const struct store_snapshot *s, const struct given_tables *t,
+			   struct store_change *c)
 {
 	int which;
 	guint i;
@@ -79,7 +85,7 @@
 			if (old != NULL && strcmp(old->text, e->text) == 0)
 				continue;
 			g_ptr_array_add(c->puts, e);
-			c->touches[which] = true;
+			c->table_changed[which] = true;
 		}
 		for (i = 0; i < s->entries->len; i++) {
 			struct conf_entry *old = g_ptr_array_index(s->entries, i);
@@ -88,7 +94,7 @@
 			    store_find(t->table[which].entries, old->id) != NULL)
 				continue;
 			g_ptr_array_add(c->removes, old->id);
-			c->touches[which] = true;
+			c->table_changed[which] = true;
 		}
 	}
 }
@@ -99,8 +105,9 @@
 	g_ptr_array_unref(c->removes);
 }
 
-/** Routes must find their pools also when only one table is given. */
-static gboolean check_with_store(const struct store *s, const struct tables *t, GError **error)
+/** Checks that each route's pool exists; takes a table that is not given from the store. */
+static gboolean check_with_store(const struct store_snapshot *s, const struct given_tables *t,
+				 GError **error)
 {
 	const GPtrArray *routes =
 		t->given[TABLE_ROUTES] ? t->table[TABLE_ROUTES].entries : s->entries;
@@ -111,8 +118,11 @@
 				  routes, pools, error);
 }
 
-/** An edit that began from an older version of its table must not undo what came since. */
-static gboolean check_base(const struct store *s, const struct tables *t,
+/**
+ * Fails if a stored table changed after the version that the edit is based on: the apply would undo
+ * that change. The base is base_version of the file, or else the version at the first attempt.
+ */
+static gboolean check_base(const struct store_snapshot *s, const struct given_tables *t,
 			   const uint64_t seen[TABLES], GError **error)
 {
 	int i;
@@ -131,28 +141,30 @@
 	return TRUE;
 }
 
-static char *summary(const struct store_change *c)
+/** Lists the ids that a change puts and removes, for the history. */
+static char *change_summary(const struct store_change *c)
 {
 	GString *out = g_string_new(NULL);
 	guint i;
 
-	for (i = 0; i < c->puts->len && i < 20; i++)
+	for (i = 0; i < c->puts->len && i < SUMMARY_ENTRIES_MAX; i++)
 		g_string_append_printf(
 			out, "%s+%s", i > 0 ? " " : "",
 			((const struct conf_entry *)g_ptr_array_index(c->puts, i))->id);
-	for (i = 0; i < c->removes->len && i < 20; i++)
+	for (i = 0; i < c->removes->len && i < SUMMARY_ENTRIES_MAX; i++)
 		g_string_append_printf(out, " -%s", (const char *)g_ptr_array_index(c->removes, i));
 	return g_string_free(out, FALSE);
 }
 
 /**
- * One try. @return the new version, 0 with @a error, or the version in force when nothing has to
- * change
+ * Makes one attempt to apply the tables.
+ * @param seen table versions at the first attempt
+ * @return the new version, 0 with @a error, or the version in force if nothing has to change
  */
-static uint64_t apply_once(struct cli *cli, const struct tables *t, uint64_t seen[TABLES],
+static uint64_t apply_once(struct cli *cli, const struct given_tables *t, uint64_t seen[TABLES],
 			   bool first, bool *changed, GError **error)
 {
-	struct store *s = store_read(cli, error);
+	struct store_snapshot *s = store_read(cli, error);
 	struct store_change c = {0};
 	uint64_t version = 0;
 	char *text;
@@ -162,9 +174,9 @@
 	if (first)
 		memcpy(seen, s->table_version, sizeof(s->table_version));
 	if (check_base(s, t, seen, error) && check_with_store(s, t, error)) {
-		change_fill(s, t, &c);
+		change_compute(s, t, &c);
 		*changed = c.puts->len + c.removes->len > 0;
-		text = summary(&c);
+		text = change_summary(&c);
 		c.summary = text;
 		version = *changed ? store_commit(cli, s, &c, error) : s->version;
 		g_free(text);
@@ -180,21 +192,21 @@
 	GError *error = NULL;
 	bool changed = false;
 	uint64_t version = 0;
-	struct tables t;
-	int code, try;
+	struct given_tables t;
+	int code, attempt;
 
 	if (cli->opt.routes == NULL && cli->opt.pools == NULL)
-		return cli_fail(EXIT_USAGE, "--routes or --pools is needed");
+		return cli_fail(EXIT_USAGE, "--routes or --pools is required");
 	if (!tables_load(cli, &t, &error)) {
 		tables_clear(&t);
 		return cli_fail_error(error);
 	}
-	for (try = 0; try < APPLY_TRIES; try++) {
+	for (attempt = 0; attempt < APPLY_ATTEMPTS_MAX; attempt++) {
 		g_clear_error(&error);
-		version = apply_once(cli, &t, seen, try == 0, &changed, &error);
+		version = apply_once(cli, &t, seen, attempt == 0, &changed, &error);
 		/*
-		 * A change of something else, a key say, is no conflict: the next try sees whether
-		 * the table moved.
+		 * The commit also conflicts with changes outside the given tables, such as of
+		 * a key. Retry; check_base() fails in the next attempt if the table changed.
 		 */
 		if (error == NULL || error->domain != ML_ERROR ||
 		    error->code != ML_ERROR_CONFLICT ||
@@ -208,7 +220,7 @@
 		printf("no change; version %lu is in force\n", version);
 		return EXIT_OK;
 	}
-	code = store_wait(cli, version, "the change");
+	code = store_wait_confirmed(cli, version, "the change");
 	if (code == EXIT_OK)
 		printf("version %lu is in force on all VMs\n", version);
 	return code;
@@ -217,17 +229,17 @@
 int cmd_get(struct cli *cli)
 {
 	GError *error = NULL;
-	struct store *s;
+	struct store_snapshot *s;
 	char *text;
 	int which;
 
 	for (which = 0; which < TABLES; which++) {
-		if (strcmp(cli->opt.words[0], table_name((enum table_which)which)) == 0)
+		if (strcmp(cli->opt.args[0], table_name((enum table_which)which)) == 0)
 			break;
 	}
 	if (which == TABLES)
 		return cli_fail(EXIT_USAGE, "get: found %s; allowed: routes or pools",
-				cli->opt.words[0]);
+				cli->opt.args[0]);
 	s = store_read(cli, &error);
 	if (s == NULL)
 		return cli_fail_error(error);
@@ -242,15 +254,15 @@
 {
 	struct store_change c = {0};
 	GError *error = NULL;
-	struct store *s = NULL;
-	struct tables t;
+	struct store_snapshot *s = NULL;
+	struct given_tables t;
 	guint i;
 
 	if (!tables_load(cli, &t, &error) || (s = store_read(cli, &error)) == NULL) {
 		tables_clear(&t);
 		return cli_fail_error(error);
 	}
-	change_fill(s, &t, &c);
+	change_compute(s, &t, &c);
 	for (i = 0; i < c.puts->len; i++) {
 		const struct conf_entry *e = g_ptr_array_index(c.puts, i);
 		const struct conf_entry *old = store_find(s->entries, e->id);
--- a/cmd/mangoloomd.c
+++ b/cmd/mangoloomd.c
@@ -1,4 +1,4 @@
-/** @file mangoloomd.c The daemon: reads its settings, makes the services, runs the loop. */
+/** @file mangoloomd.c The daemon: loads settings, creates the services, runs the event loop. */
 #include "caller.h"
 #include "endpoint.h"
 #include "entry.h"
@@ -24,15 +24,18 @@
 
 #define LOG_FLUSH_US (100 * USEC_PER_MSEC)
 
-static void on_signal(evutil_socket_t sig, short what, void *arg)
+static void on_stop_signal(evutil_socket_t sig, short what, void *arg)
 {
 	kernel_drain(arg);
 }
 
-/** The settings are rendered anew on a reload; none of them can change while the daemon runs. */
+/**
+ * Handles SIGHUP. The settings file may have been rewritten, but no setting changes while the
+ * daemon runs.
+ */
 static void on_reload(evutil_socket_t sig, short what, void *arg)
 {
-	log_info("reload", LOG_STR("settings", "as at the start"));
+	log_info("reload", LOG_STR("settings", "unchanged until restart"));
 }
 
 static void on_flush(evutil_socket_t fd, short what, void *arg)
@@ -40,7 +43,10 @@
 	log_flush();
 }
 
-/** Each caller is a file; the soft limit is often far below the hard one. */
+/**
+ * Raises the soft limit of open files to the hard one, which is often far higher: each caller uses
+ * a file descriptor.
+ */
 static void raise_file_limit(void)
 {
 	struct rlimit limit;
@@ -51,7 +57,7 @@
 	setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-/** The services, in the order in which they start; they stop in the other. */
+/** Creates the services in the order in which they start; they stop in reverse order. */
 static void services_create(struct kernel *k)
 {
 	rpc_service_create(k);
@@ -76,9 +82,9 @@
 static int run(const struct settings *settings)
 {
 	struct kernel *k = kernel_create(settings);
-	struct event *term = evsignal_new(k->base, SIGTERM, on_signal, k);
-	struct event *interrupt = evsignal_new(k->base, SIGINT, on_signal, k);
-	struct event *hangup = evsignal_new(k->base, SIGHUP, on_reload, k);
+	struct event *sigterm = evsignal_new(k->base, SIGTERM, on_stop_signal, k);
+	struct event *sigint = evsignal_new(k->base, SIGINT, on_stop_signal, k);
+	struct event *sighup = evsignal_new(k->base, SIGHUP, on_reload, k);
 	struct event *flush = kernel_every(k, LOG_FLUSH_US, on_flush, NULL);
 	GError *error = NULL;
 	int code = EXIT_OK;
@@ -87,9 +93,9 @@
 		k->adapter = &platform_adapter;
 	signal(SIGPIPE, SIG_IGN);
 	raise_file_limit();
-	event_add(term, NULL);
-	event_add(interrupt, NULL);
-	event_add(hangup, NULL);
+	event_add(sigterm, NULL);
+	event_add(sigint, NULL);
+	event_add(sighup, NULL);
 	services_create(k);
 	if (kernel_start(k, &error)) {
 		log_info("started", LOG_STR("version", MANGOLOOM_VERSION),
@@ -102,16 +108,16 @@
 		g_error_free(error);
 		code = EXIT_FAILED;
 	}
-	event_free(term);
-	event_free(interrupt);
-	event_free(hangup);
+	event_free(sigterm);
+	event_free(sigint);
+	event_free(sighup);
 	event_free(flush);
 	kernel_free(k);
 	log_flush();
 	return code;
 }
 
-static int with_settings(const char *path, bool only_check)
+static int load_and_run(const char *path, bool check_only)
 {
 	struct settings settings;
 	GError *error = NULL;
@@ -121,7 +127,7 @@
 		g_error_free(error);
 		return EXIT_INVALID;
 	}
-	if (only_check) {
+	if (check_only) {
 		printf("%s: valid\n", path);
 		return EXIT_OK;
 	}
@@ -150,18 +156,18 @@
 		printf("Usage: mangoloomd");
 		arg_print_syntax(stdout, table, "\n");
 		arg_print_glossary(stdout, table, "  %-20s %s\n");
-		printf("Exit codes: 0 stopped as asked, 1 failed, 2 wrong command line, 3 wrong "
-		       "settings.\n");
+		printf("Exit codes: 0 stopped on request, 1 failed, 2 invalid command line, "
+		       "3 invalid settings.\n");
 		code = EXIT_OK;
 	} else if (version->count > 0) {
 		printf("mangoloomd %s\n", MANGOLOOM_VERSION);
 		code = EXIT_OK;
 	} else if (errors > 0 || path->count == 0) {
 		arg_print_errors(stderr, end, "mangoloomd");
-		fprintf(stderr, "mangoloomd: --settings FILE is needed; --help tells more\n");
+		fprintf(stderr, "mangoloomd: --settings FILE is required; see --help\n");
 		code = EXIT_USAGE;
 	} else {
-		code = with_settings(path->filename[0], check->count > 0);
+		code = load_and_run(path->filename[0], check->count > 0);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
