--- a/src/caller-auth.c
+++ b/src/caller-auth.c
@@ -1,4 +1,8 @@
-/** @file caller-auth.c The first messages of a session: TLS, cancel requests, the team's key. */
+/**
+ * @file caller-auth.c
+ * Start of a session: TLS negotiation, cancel requests, startup parameters and authentication by
+ * a key of the team.
+ */
 #include "caller.h"
 
 #include "fleet.h"
@@ -12,13 +16,13 @@
 #define AUTH_OK 0
 #define AUTH_CLEARTEXT 3
 
-/** Told to callers that ask which server this is; clients choose features by it. */
+/** Reported as server_version; client libraries choose features by it. */
 #define SERVER_VERSION "15.0 (mangoloom)"
 
 static const struct {
 	const char *name;
 	const char *value;
-} greeting[] = {
+} reported_parameters[] = {
 	{"server_version", SERVER_VERSION},
 	{"server_encoding", "UTF8"},
 	{"client_encoding", "UTF8"},
@@ -29,7 +33,7 @@
 	{"IntervalStyle", "postgres"},
 };
 
-/** Answer whether TLS is served, and begin it. */
+/** Answers an SSLRequest and starts the TLS handshake if TLS is configured. */
 static void start_tls(struct caller *c)
 {
 	struct callers *cs = c->callers;
@@ -41,7 +45,7 @@
 	}
 	bufferevent_write(plain, "S", 1);
 	bufferevent_flush(plain, EV_WRITE, BEV_FLUSH);
-	/* Bytes that came with the request in clear must not count as sent under TLS. */
+	/* Input received in clear text must not be treated as if it had been sent through TLS. */
 	evbuffer_drain(bufferevent_get_input(plain),
 		       evbuffer_get_length(bufferevent_get_input(plain)));
 	c->bev = bufferevent_openssl_filter_new(cs->service.kernel->base, plain, SSL_new(cs->tls),
@@ -50,7 +54,10 @@
 	caller_attach(c);
 }
 
-/** A cancel request names another session; it gets no answer. */
+/**
+ * Cancels the request of the session that the message names by pid and key. The protocol has no
+ * response to a cancel request.
+ */
 static void cancel(struct caller *c, struct pg_reader *r)
 {
 	uint32_t pid = pg_read_u32(r);
@@ -63,10 +70,10 @@
 	}
 	if (!r->bad && other != NULL)
 		entry_cancel(other->request);
-	caller_ends(c);
+	caller_begin_close(c);
 }
 
-/** "-c name=value" texts of the options parameter. */
+/** Applies the "-c name=value" settings of the startup parameter "options". */
 static bool startup_options(struct caller *c, const char *options, const char **why)
 {
 	char **words = g_strsplit_set(options, " ", -1);
@@ -168,7 +175,7 @@
 	startup_parameters(c, &r);
 }
 
-/** Whether @a text is a key of the session's team that holds now. */
+/** Returns whether @a text is a valid key of the session's team. */
 static bool key_accepted(struct caller *c, const char *text)
 {
 	struct fleet *f = fleet_of(c->callers->service.kernel);
@@ -179,26 +186,26 @@
 		return false;
 	key = conf_key(f->conf, c->key_id);
 	key_hash(text, hash);
-	/* The hash is compared in constant time, so that its bytes can't be guessed one by one. */
-	return key != NULL && key_hash_equal(hash, key->hash) && caller_key_holds(c);
+	/* Compares in constant time, so that response times don't reveal the hash byte by byte. */
+	return key != NULL && key_hash_equal(hash, key->hash) && caller_key_valid(c);
 }
 
-static void greet(struct caller *c)
+static void send_session_start(struct caller *c)
 {
 	GByteArray *out = g_byte_array_new();
 	char token[CALLER_VALUE_SIZE];
-	guint mark;
+	guint start;
 	unsigned i;
 
 	pg_put_auth(out, AUTH_OK);
-	for (i = 0; i < G_N_ELEMENTS(greeting); i++)
-		pg_put_parameter(out, greeting[i].name, greeting[i].value);
+	for (i = 0; i < G_N_ELEMENTS(reported_parameters); i++)
+		pg_put_parameter(out, reported_parameters[i].name, reported_parameters[i].value);
 	caller_show(c, "mangoloom.session", token);
 	pg_put_parameter(out, "mangoloom.session", token);
-	mark = pg_begin(out, 'K');
+	start = pg_begin(out, 'K');
 	pg_put_u32(out, c->pid);
 	pg_put_u32(out, c->cancel_key);
-	pg_end(out, mark);
+	pg_end(out, start);
 	pg_put_ready(out, 'I');
 	caller_send(c, out);
 }
@@ -221,5 +228,5 @@
 	}
 	log_debug("caller", LOG_STR("team", c->team), LOG_STR("key", c->key_id));
 	c->state = CALLER_READY;
-	greet(c);
+	send_session_start(c);
 }
--- a/src/caller-extended.c
+++ b/src/caller-extended.c
@@ -1,12 +1,13 @@
 /**
- * @file caller-extended.c Prepared statements and portals: they live here, not on a database
- * connection.
+ * @file caller-extended.c
+ * Extended query protocol. Prepared statements and portals are kept in the session, not on a
+ * database connection, since sessions share the connections.
  */
 #include "caller.h"
 
 #include <string.h>
 
-/** Prepared statements and portals that one session may keep. */
+/** Maximum of prepared statements, and also of portals, in one session. */
 #define EXTENDED_MAX 1000
 
 static void prepared_free(gpointer data)
@@ -58,21 +59,24 @@
 	caller_send(c, out);
 }
 
-static void malformed(struct caller *c)
+static void send_malformed(struct caller *c)
 {
 	caller_error(c, true, "08P01", "malformed message", "not run", NULL);
 }
 
-/** Put @a value under @a name, unless the session keeps too many. */
-static bool keep(struct caller *c, GHashTable **table, const char *name, gpointer value,
-		 GDestroyNotify free_value)
+/**
+ * Stores @a value as @a name in @a table, which it creates at first use.
+ * @return false if the table is full; then the caller gets an error and @a value is freed
+ */
+static bool store_named(struct caller *c, GHashTable **table, const char *name, gpointer value,
+			GDestroyNotify free_value)
 {
 	if (*table == NULL)
 		*table = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_value);
 	if (g_hash_table_size(*table) >= EXTENDED_MAX && !g_hash_table_contains(*table, name)) {
 		free_value(value);
-		caller_not_run(c, "53400",
-			       "this session keeps too many prepared statements or portals", 0);
+		caller_refuse(c, "53400",
+			      "this session keeps too many prepared statements or portals", 0);
 		return false;
 	}
 	g_hash_table_replace(*table, g_strdup(name), value);
@@ -91,16 +95,16 @@
 	p->types = g_new0(uint32_t, p->n_types + 1);
 	for (i = 0; i < p->n_types; i++)
 		p->types[i] = pg_read_u32(r);
-	if (!pg_read_ended(r)) {
+	if (!pg_read_at_end(r)) {
 		prepared_free(p);
-		malformed(c);
+		send_malformed(c);
 		return;
 	}
-	if (keep(c, &c->prepared, name, p, prepared_free))
+	if (store_named(c, &c->prepared, name, p, prepared_free))
 		send_empty(c, '1');
 }
 
-/** Parameters' formats: none, one for all, or one each. */
+/** Reads format codes: none, one for all values, or one for each value. */
 static bool read_formats(struct pg_reader *r, uint16_t *formats, unsigned max, unsigned *n)
 {
 	unsigned i;
@@ -140,7 +144,7 @@
 		bytes = pg_read_bytes(r, len);
 		if (bytes == NULL)
 			return false;
-		/* libpq takes a text parameter up to its end byte. */
+		/* libpq expects a text parameter to end with a null byte. */
 		param->value.value_val = g_malloc0((gsize)len + 1);
 		memcpy(param->value.value_val, bytes, len);
 		param->value.value_len = len + (param->format == 0 ? 1 : 0);
@@ -160,7 +164,7 @@
 		if (formats[i] != formats[0])
 			portal->mixed_formats = true;
 	}
-	return pg_read_ended(r);
+	return pg_read_at_end(r);
 }
 
 static void handle_bind(struct caller *c, struct pg_reader *r)
@@ -172,22 +176,22 @@
 	struct portal *portal;
 
 	if (p == NULL && !r->bad) {
-		caller_not_run(c, "26000", "this prepared statement does not exist", 0);
+		caller_refuse(c, "26000", "this prepared statement does not exist", 0);
 		return;
 	}
 	portal = g_new0(struct portal, 1);
 	if (r->bad || !read_params(r, portal, p) || !read_result_formats(r, portal)) {
 		portal_free(portal);
-		malformed(c);
+		send_malformed(c);
 		return;
 	}
 	if (portal->mixed_formats) {
 		portal_free(portal);
-		caller_not_run(c, "0A000", "result columns in different formats are not served", 0);
+		caller_refuse(c, "0A000", "result columns in different formats are not served", 0);
 		return;
 	}
 	portal->sql = g_strdup(p->sql);
-	if (keep(c, &c->portals, portal_name, portal, portal_free))
+	if (store_named(c, &c->portals, portal_name, portal, portal_free))
 		send_empty(c, '2');
 }
 
@@ -198,15 +202,15 @@
 	unsigned i;
 
 	/*
-	 * Statements that the proxy carries out itself have no parameters and no rows, but for
-	 * SHOW.
+	 * Statements that the proxy executes itself have no parameters and, except for SHOW, no
+	 * rows.
 	 */
 	if (scan.class != STMT_OTHER) {
 		GByteArray *out = g_byte_array_new();
-		guint mark = pg_begin(out, 't');
+		guint start = pg_begin(out, 't');
 
 		pg_put_u16(out, 0);
-		pg_end(out, mark);
+		pg_end(out, start);
 		pg_put_empty(out, 'n');
 		caller_send(c, out);
 		portal_free(portal);
@@ -229,8 +233,8 @@
 	struct prepared *p = c->prepared != NULL ? g_hash_table_lookup(c->prepared, name) : NULL;
 	struct portal *portal = c->portals != NULL ? g_hash_table_lookup(c->portals, name) : NULL;
 
-	if (!pg_read_ended(r) || (what != 'S' && what != 'P')) {
-		malformed(c);
+	if (!pg_read_at_end(r) || (what != 'S' && what != 'P')) {
+		send_malformed(c);
 		return;
 	}
 	if (what == 'S' && p != NULL) {
@@ -239,14 +243,14 @@
 	}
 	if (what == 'P' && portal != NULL) {
 		/*
-		 * The shape is told together with the rows: Execute follows, and one round trip
-		 * serves both.
+		 * RowDescription is sent with the rows of the Execute that follows, which saves a
+		 * round trip to the database.
 		 */
 		portal->describe = true;
 		return;
 	}
-	caller_not_run(c, what == 'S' ? "26000" : "34000",
-		       "this statement or portal does not exist", 0);
+	caller_refuse(c, what == 'S' ? "26000" : "34000", "this statement or portal does not exist",
+		      0);
 }
 
 static void handle_execute(struct caller *c, struct pg_reader *r)
@@ -256,22 +260,21 @@
 	struct portal *portal = c->portals != NULL ? g_hash_table_lookup(c->portals, name) : NULL;
 	gpointer key, value;
 
-	if (!pg_read_ended(r)) {
-		malformed(c);
+	if (!pg_read_at_end(r)) {
+		send_malformed(c);
 		return;
 	}
 	if (portal == NULL) {
-		caller_not_run(c, "34000", "this portal does not exist, or has been run", 0);
+		caller_refuse(c, "34000", "this portal does not exist, or has been run", 0);
 		return;
 	}
 	if (max_rows != 0) {
-		caller_not_run(c, "0A000", "a limit of rows in Execute is not served; use LIMIT",
-			       0);
+		caller_refuse(c, "0A000", "a limit of rows in Execute is not served; use LIMIT", 0);
 		return;
 	}
 	/*
-	 * A portal runs once: a second Execute would run the statement again, which the caller did
-	 * not mean.
+	 * A portal is executed once: a second Execute would run the statement again, which the
+	 * caller does not intend.
 	 */
 	g_hash_table_steal_extended(c->portals, name, &key, &value);
 	g_free(key);
@@ -285,8 +288,8 @@
 	uint8_t what = pg_read_u8(r);
 	const char *name = pg_read_text(r);
 
-	if (!pg_read_ended(r)) {
-		malformed(c);
+	if (!pg_read_at_end(r)) {
+		send_malformed(c);
 		return;
 	}
 	if (what == 'S' && c->prepared != NULL)
@@ -312,7 +315,7 @@
 static const struct {
 	char type;
 	void (*handle)(struct caller *c, struct pg_reader *r);
-} messages[] = {
+} handlers[] = {
 	{'P', handle_parse}, {'B', handle_bind}, {'D', handle_describe}, {'E', handle_execute},
 	{'C', handle_close}, {'S', handle_sync}, {'H', handle_flush},
 };
@@ -322,17 +325,17 @@
 	struct pg_reader r = pg_reader(m);
 	unsigned i;
 
-	for (i = 0; i < G_N_ELEMENTS(messages); i++) {
-		if (messages[i].type != m->type)
+	for (i = 0; i < G_N_ELEMENTS(handlers); i++) {
+		if (handlers[i].type != m->type)
 			continue;
 		c->simple = false;
-		if (!caller_key_holds(c))
+		if (!caller_key_valid(c))
 			caller_error(c, true, "28P01", "the key has been withdrawn", "not run",
 				     NULL);
 		else if (!c->skip_to_sync || m->type == 'S')
-			messages[i].handle(c, &r);
+			handlers[i].handle(c, &r);
 		return true;
 	}
-	/* Copy data of a COPY that was refused is passed over, as the protocol asks. */
+	/* Ignores COPY messages after a rejected COPY, as the protocol requires. */
 	return m->type == 'd' || m->type == 'c' || m->type == 'f';
 }
--- a/src/caller-query.c
+++ b/src/caller-query.c
@@ -1,4 +1,4 @@
-/** @file caller-query.c Running one statement of a session, and telling its outcome. */
+/** @file caller-query.c Execution of one statement of a session, and the response to it. */
 #include "caller.h"
 
 #include "log.h"
@@ -6,16 +6,16 @@
 #include <stdio.h>
 #include <string.h>
 
-/** Room for "come back in N ms" and the like. */
-#define TEXT_SIZE 160
+/** Size of the buffer for the hint when to retry. */
+#define HINT_SIZE 160
 
 static const struct token_set no_tokens;
 
 /**
- * Errors told by the proxy leave a simple query ready for the next, and an extended one waiting
- * for Sync.
+ * Ends the handling of a failed message: sends ReadyForQuery after a simple query, and skips the
+ * messages up to Sync in the extended protocol.
  */
-static void told_error(struct caller *c)
+static void finish_error(struct caller *c)
 {
 	GByteArray *out;
 
@@ -28,27 +28,30 @@
 	caller_send(c, out);
 }
 
-void caller_not_run(struct caller *c, const char *sqlstate, const char *message,
-		    int64_t retry_after_us)
+void caller_refuse(struct caller *c, const char *sqlstate, const char *message,
+		   int64_t retry_after_us)
 {
-	char hint[TEXT_SIZE] = "";
+	char hint[HINT_SIZE] = "";
 
 	if (retry_after_us > 0)
 		snprintf(hint, sizeof(hint), "Come back in %ld ms.",
 			 (long)((retry_after_us + 999) / USEC_PER_MSEC));
 	caller_error(c, false, sqlstate, message, "not run", hint[0] != '\0' ? hint : NULL);
-	told_error(c);
+	finish_error(c);
 }
 
-/** A portal whose shape was asked for, and that has no rows, says so first. */
+/** Adds NoData if a Describe of the running portal, which returns no rows, is unanswered. */
 static void put_no_data(const struct caller *c, GByteArray *out)
 {
 	if (c->running_portal != NULL && c->running_portal->describe)
 		pg_put_empty(out, 'n');
 }
 
-/** Session tokens: what was written is remembered and told. */
-static void note_write(struct caller *c, const struct entry_answer *a, GByteArray *out)
+/**
+ * Advances the session token to the log position of an acknowledged write, and reports the new
+ * token with ParameterStatus.
+ */
+static void report_write(struct caller *c, const struct entry_answer *a, GByteArray *out)
 {
 	char text[CALLER_VALUE_SIZE];
 
@@ -61,10 +64,10 @@
 	pg_put_parameter(out, "mangoloom.session", text);
 }
 
-static void tell_refusal(struct caller *c, const struct entry_answer *a)
+static void send_refusal(struct caller *c, const struct entry_answer *a)
 {
 	const struct outcome_text *t = outcome_text(a->outcome);
-	char hint[TEXT_SIZE];
+	char hint[HINT_SIZE];
 	const char *detail = t->not_run ? "not run" : "the outcome is not known, or it has run";
 
 	snprintf(hint, sizeof(hint), "Come back in %ld ms.",
@@ -76,16 +79,16 @@
 	caller_error(c, false, t->sqlstate, t->message, detail, t->not_run ? hint : NULL);
 }
 
-/** Keep the transaction's place, or note that it is over. */
-static void note_transaction(struct caller *c, const struct entry_answer *a)
+/** Stores where the transaction is open, or that it has ended. */
+static void update_transaction(struct caller *c, const struct entry_answer *a)
 {
 	bool was_open = c->tx.id != 0;
 
 	c->tx = a->tx;
 	c->tx_failed = a->tx.id != 0 && a->tx_failed;
 	/*
-	 * After a lost transaction the caller still believes to be in one; all but its end is
-	 * refused until then.
+	 * The transaction was lost, but the caller still assumes that it is open: everything but
+	 * COMMIT and ROLLBACK is refused until one of them arrives.
 	 */
 	if (was_open && a->tx.id == 0 && c->control == ML_CONTROL_NONE)
 		c->tx_failed = true;
@@ -94,44 +97,44 @@
 static void run_done(const struct entry_answer *a, void *arg)
 {
 	struct caller *c = arg;
-	bool answered = a->outcome == OUTCOME_DONE || a->outcome == OUTCOME_SQL_ERROR;
+	bool has_response = a->outcome == OUTCOME_DONE || a->outcome == OUTCOME_SQL_ERROR;
 	GByteArray *out = g_byte_array_new();
 
 	c->request = NULL;
 	c->state = CALLER_READY;
-	note_transaction(c, a);
+	update_transaction(c, a);
 	/*
-	 * A once-id belongs to one statement; it stays for a repetition as long as its outcome is
-	 * not known.
+	 * A once-id belongs to one statement. It is kept until the statement is known to have
+	 * run, so that a retry of the statement uses the same id.
 	 */
 	if (a->outcome == OUTCOME_DONE || a->outcome == OUTCOME_ALREADY_RUN)
 		c->once[0] = '\0';
-	if (answered) {
+	if (has_response) {
 		if (a->outcome == OUTCOME_DONE)
-			note_write(c, a, out);
+			report_write(c, a, out);
 		if (a->outcome == OUTCOME_DONE && c->control != ML_CONTROL_NONE)
 			put_no_data(c, out);
 		pg_put_bytes(out, a->frames, a->frames_len);
 		caller_send(c, out);
 	} else {
 		g_byte_array_unref(out);
-		tell_refusal(c, a);
+		send_refusal(c, a);
 	}
 	if (a->outcome != OUTCOME_DONE || c->simple)
-		told_error(c);
+		finish_error(c);
 	caller_extended_done(c);
 	g_free(c->sql);
 	c->sql = NULL;
 	if (c->callers->draining && c->tx.id == 0)
 		caller_error(c, true, "57P01", "this VM is being stopped", "not run",
 			     "Connect again; another VM serves you.");
-	else if (!caller_key_holds(c))
+	else if (!caller_key_valid(c))
 		caller_error(c, true, "28P01", "the key has been withdrawn", "not run", NULL);
 	caller_process(c);
 }
 
-/** The answer to a statement that the proxy carries out itself. */
-static void answer_here(struct caller *c, GByteArray *out)
+/** Sends the response to a statement that the proxy executes itself. */
+static void send_local_response(struct caller *c, GByteArray *out)
 {
 	if (c->simple)
 		pg_put_ready(out, caller_tx_status(c));
@@ -147,7 +150,7 @@
 	if (!sqlscan_set(sql, name, sizeof(name), value, sizeof(value)) ||
 	    !caller_set(c, name, value, &why)) {
 		caller_error(c, false, "22023", "this setting or value is not served", why, NULL);
-		told_error(c);
+		finish_error(c);
 		return false;
 	}
 	out = g_byte_array_new();
@@ -157,7 +160,7 @@
 		pg_put_parameter(out, name, value);
 	}
 	pg_put_complete(out, "SET");
-	answer_here(c, out);
+	send_local_response(c, out);
 	return false;
 }
 
@@ -167,12 +170,12 @@
 	GByteArray *out;
 
 	if (!sqlscan_name(sql, name, sizeof(name)) || !caller_show(c, name, value)) {
-		caller_not_run(c, "42704", "this setting is not known here", 0);
+		caller_refuse(c, "42704", "this setting is not known here", 0);
 		return false;
 	}
 	out = g_byte_array_new();
 	pg_put_one_value(out, name, value, "SHOW");
-	answer_here(c, out);
+	send_local_response(c, out);
 	return false;
 }
 
@@ -187,28 +190,28 @@
 	out = g_byte_array_new();
 	put_no_data(c, out);
 	pg_put_complete(out, "RESET");
-	answer_here(c, out);
+	send_local_response(c, out);
 	return false;
 }
 
 /**
- * A transaction that is gone ends with the caller's COMMIT or ROLLBACK; COMMIT is answered as
- * PostgreSQL does.
+ * Handles COMMIT and ROLLBACK while no transaction is open, for example after it was lost. COMMIT
+ * is answered with ROLLBACK, as PostgreSQL does for a failed transaction.
  */
-static bool run_end_of_nothing(struct caller *c)
+static bool run_end_without_transaction(struct caller *c)
 {
 	GByteArray *out = g_byte_array_new();
 
 	c->tx_failed = false;
 	put_no_data(c, out);
 	pg_put_complete(out, "ROLLBACK");
-	answer_here(c, out);
+	send_local_response(c, out);
 	return false;
 }
 
-static void run_start(struct caller *c, const char *sql, const struct portal *p, ml_op op)
+static void start_request(struct caller *c, const char *sql, const struct portal *p, ml_op op)
 {
-	struct entry_ask ask = {
+	struct entry_query query = {
 		.team = c->team,
 		.kind = c->kind[0] != '\0' ? c->kind : "default",
 		.once = c->tx.id == 0 ? c->once : "",
@@ -222,13 +225,13 @@
 	};
 
 	if (p != NULL) {
-		ask.params = p->params;
-		ask.n_params = p->n_params;
-		ask.describe_row = p->describe;
-		ask.result_format = p->result_format;
+		query.params = p->params;
+		query.n_params = p->n_params;
+		query.describe_row = p->describe;
+		query.result_format = p->result_format;
 	}
 	c->state = CALLER_BUSY;
-	c->request = entry_run(entry_of(c->callers->service.kernel), &ask, run_done, c);
+	c->request = entry_run(entry_of(c->callers->service.kernel), &query, run_done, c);
 }
 
 bool caller_run(struct caller *c, const char *sql, const struct portal *p, ml_op op)
@@ -239,28 +242,28 @@
 
 	c->control = ML_CONTROL_NONE;
 	/*
-	 * Transaction control inside a query of several statements would end the transaction that
-	 * the proxy runs it in, and the rest would run outside, on a connection that others use
-	 * next.
+	 * Transaction control inside a query of several statements would end the transaction in
+	 * which the proxy runs the query. The remaining statements would run outside of it, on a
+	 * connection that other sessions use next.
 	 */
 	if (scan.has_control || scan.class == STMT_UNSUPPORTED) {
-		caller_not_run(c, "0A000",
-			       "this statement is not served through shared connections", 0);
+		caller_refuse(c, "0A000", "this statement is not served through shared connections",
+			      0);
 		return false;
 	}
 	if (!open && c->tx_failed && scan.class != STMT_COMMIT && scan.class != STMT_ROLLBACK) {
-		caller_not_run(c, "25P02", "the transaction is gone; end it with ROLLBACK", 0);
+		caller_refuse(c, "25P02", "the transaction is gone; end it with ROLLBACK", 0);
 		return false;
 	}
 	if (op == ML_DESCRIBE) {
-		run_start(c, sql, p, op);
+		start_request(c, sql, p, op);
 		return true;
 	}
 	switch (scan.class) {
 	case STMT_EMPTY:
 		out = g_byte_array_new();
 		pg_put_empty(out, 'I');
-		answer_here(c, out);
+		send_local_response(c, out);
 		return false;
 	case STMT_SET:
 		return run_set(c, sql);
@@ -275,14 +278,14 @@
 	case STMT_COMMIT:
 	case STMT_ROLLBACK:
 		if (!open)
-			return run_end_of_nothing(c);
+			return run_end_without_transaction(c);
 		c->control = scan.class == STMT_COMMIT && !c->tx_failed ? ML_CONTROL_COMMIT
 									: ML_CONTROL_ROLLBACK;
 		break;
 	default:
 		break;
 	}
-	run_start(c, sql, p, op);
+	start_request(c, sql, p, op);
 	return true;
 }
 
@@ -293,11 +296,11 @@
 
 	c->simple = true;
 	c->skip_to_sync = false;
-	if (!pg_read_ended(&r)) {
+	if (!pg_read_at_end(&r)) {
 		caller_error(c, true, "08P01", "malformed message", "not run", NULL);
 		return;
 	}
-	if (!caller_key_holds(c)) {
+	if (!caller_key_valid(c)) {
 		caller_error(c, true, "28P01", "the key has been withdrawn", "not run", NULL);
 		return;
 	}
--- a/src/caller-setting.c
+++ b/src/caller-setting.c
@@ -1,6 +1,7 @@
 /**
- * @file caller-setting.c A session's settings: mangoloom.* ones act, a few of PostgreSQL's are
- * accepted as they are.
+ * @file caller-setting.c
+ * Settings of a session. The mangoloom.* settings control the proxy; a few settings of PostgreSQL
+ * are accepted but have a fixed value.
  */
 #include "caller.h"
 
@@ -8,7 +9,7 @@
 #include <string.h>
 #include <strings.h>
 
-/** Longest time that a setting may name. */
+/** Maximum of a setting that is a time: one day. */
 #define SETTING_MS_MAX 86400000L
 
 static bool set_kind(struct caller *c, const char *value)
@@ -24,8 +25,8 @@
 	if (len >= sizeof(c->once))
 		return false;
 	/*
-	 * The id becomes a literal of a statement of ours; only harmless characters are let
-	 * through.
+	 * The once-id becomes a literal in an SQL statement of the proxy, so only characters that
+	 * need no escaping are accepted.
 	 */
 	if (strspn(value, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:") !=
 	    len)
@@ -68,7 +69,7 @@
 		return false;
 	if (c->tokens == NULL)
 		c->tokens = g_new0(struct token_set, 1);
-	/* A token only adds to what the session has seen itself. */
+	/* A token only moves the positions of the session forward, never back. */
 	for (i = 0; i < set.n; i++)
 		token_set_advance(c->tokens, set.token[i].pool, set.token[i].pos);
 	c->tokens->overflow = c->tokens->overflow || set.overflow;
@@ -119,14 +120,15 @@
 };
 
 /**
- * Settings that clients send by habit. They are not passed on, since connections are shared; each
- * has one value here, and another one is refused, so that no caller believes in a setting that does
- * not act.
+ * Settings that client libraries send by default. They are not passed on to the database, since
+ * connections are shared between sessions. Each has one value, listed in its accepted spellings,
+ * and any other value is refused, so that no caller relies on a setting without effect. Settings
+ * with an empty list accept any value.
  */
 static const struct {
 	const char *name;
 	const char *values[6];
-} fixed[] = {
+} fixed_settings[] = {
 	{"client_encoding", {"utf8", "utf-8", "unicode", "'utf8'", NULL}},
 	{"datestyle", {"iso", "iso, mdy", "iso,mdy", NULL}},
 	{"timezone", {"utc", "gmt", "etc/utc", NULL}},
@@ -142,13 +144,13 @@
 {
 	unsigned i, j;
 
-	for (i = 0; i < G_N_ELEMENTS(fixed); i++) {
-		if (strcasecmp(fixed[i].name, name) != 0)
+	for (i = 0; i < G_N_ELEMENTS(fixed_settings); i++) {
+		if (strcasecmp(fixed_settings[i].name, name) != 0)
 			continue;
-		if (fixed[i].values[0] == NULL)
+		if (fixed_settings[i].values[0] == NULL)
 			return true;
-		for (j = 0; fixed[i].values[j] != NULL; j++) {
-			if (strcasecmp(fixed[i].values[j], value) == 0)
+		for (j = 0; fixed_settings[i].values[j] != NULL; j++) {
+			if (strcasecmp(fixed_settings[i].values[j], value) == 0)
 				return true;
 		}
 		*why = "another value than this proxy's is not served";
@@ -181,10 +183,11 @@
 		settings[i].show(c, buf);
 		return true;
 	}
-	for (i = 0; i < G_N_ELEMENTS(fixed); i++) {
-		if (strcasecmp(fixed[i].name, name) != 0)
+	for (i = 0; i < G_N_ELEMENTS(fixed_settings); i++) {
+		if (strcasecmp(fixed_settings[i].name, name) != 0)
 			continue;
-		g_strlcpy(buf, fixed[i].values[0] != NULL ? fixed[i].values[0] : "",
+		g_strlcpy(buf,
+			  fixed_settings[i].values[0] != NULL ? fixed_settings[i].values[0] : "",
 			  CALLER_VALUE_SIZE);
 		return true;
 	}
--- a/src/caller.c
+++ b/src/caller.c
@@ -1,5 +1,6 @@
 /**
- * @file caller.c Callers' connections: accepting, timeouts, closing, and the loop over messages.
+ * @file caller.c
+ * Connections of callers: accepting, timeouts, closing and reading of messages.
  */
 #include "caller.h"
 
@@ -13,9 +14,9 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/** Answers that a slow caller leaves unread, before its next statement is taken. */
-#define CALLER_UNREAD_MAX (4U * 1024 * 1024)
-/** Time for a caller to read the last message and close. */
+/** Unsent output to a slow caller above which its next message is not handled. */
+#define CALLER_UNSENT_MAX_BYTES (4U * 1024 * 1024)
+/** How long a caller has to read the last message and close the connection. */
 #define LINGER_US (1 * USEC_PER_SEC)
 
 struct callers *callers_of(struct kernel *k)
@@ -47,7 +48,7 @@
 	g_byte_array_unref(out);
 }
 
-void caller_ends(struct caller *c)
+void caller_begin_close(struct caller *c)
 {
 	if (!c->closing)
 		c->callers->n_closing++;
@@ -67,7 +68,7 @@
 		cs->n_closing--;
 	stat_add(STAT_CALLERS_CLOSED, 1);
 	if (c->request != NULL)
-		entry_forget(c->request);
+		entry_detach(c->request);
 	if (c->tx.id != 0)
 		entry_abandon(entry_of(cs->service.kernel), &c->tx);
 	caller_extended_free(c);
@@ -87,10 +88,10 @@
 	pg_put_error(out, &e);
 	caller_send(c, out);
 	if (fatal)
-		caller_ends(c);
+		caller_begin_close(c);
 }
 
-bool caller_key_holds(struct caller *c)
+bool caller_key_valid(struct caller *c)
 {
 	struct fleet *f = fleet_of(c->callers->service.kernel);
 	const struct conf_key *key = conf_key(f->conf, c->key_id);
@@ -99,8 +100,8 @@
 	if (key == NULL || key->withdrawn || strcmp(key->team, c->team) != 0)
 		return false;
 	/*
-	 * A VM that is cut off can't hear of a withdrawn key; how long it goes on trusting is the
-	 * operators' choice.
+	 * An isolated VM receives no configuration, so it can't know that a key was withdrawn.
+	 * stale_keys_ms limits for how long it goes on accepting keys; 0 is no limit.
 	 */
 	return trust == 0 || fleet_conf_age_us(f) <= trust;
 }
@@ -108,25 +109,25 @@
 static void caller_arm(struct caller *c)
 {
 	const struct settings *s = caller_settings(c);
-	bool greeting = c->state == CALLER_STARTUP || c->state == CALLER_PASSWORD;
+	bool authenticating = c->state == CALLER_STARTUP || c->state == CALLER_PASSWORD;
 
-	kernel_arm(c->timer,
-		   (int64_t)(c->partial || greeting ? s->message_ms : s->idle_ms) * USEC_PER_MSEC);
+	kernel_arm(c->timer, (int64_t)(c->partial || authenticating ? s->message_ms : s->idle_ms) *
+				     USEC_PER_MSEC);
 }
 
-/** Take one message. @return false when no whole one has arrived, or the connection is ending. */
-static bool caller_take(struct caller *c)
+/** Handles one message. @return false if none has arrived in full or the input is invalid */
+static bool caller_handle_message(struct caller *c)
 {
 	struct evbuffer *in = bufferevent_get_input(c->bev);
 	bool first = c->state == CALLER_STARTUP;
-	size_t max = first || c->state == CALLER_PASSWORD ? PG_STARTUP_MAX
+	size_t max = first || c->state == CALLER_PASSWORD ? PG_STARTUP_MAX_BYTES
 							  : caller_settings(c)->message_max;
 	struct pg_message m;
 
-	switch (pg_take(in, first, max, &m)) {
-	case PG_MORE:
+	switch (pg_message_read(in, first, max, &m)) {
+	case PG_INCOMPLETE:
 		return false;
-	case PG_BAD:
+	case PG_INVALID:
 		caller_error(c, true, "08P01", "malformed or too long message", "not run", NULL);
 		return false;
 	case PG_MESSAGE:
@@ -137,7 +138,7 @@
 	else if (c->state == CALLER_PASSWORD)
 		caller_password(c, &m);
 	else if (m.type == 'X')
-		caller_ends(c);
+		caller_begin_close(c);
 	else if (m.type == 'Q')
 		caller_query(c, &m);
 	else if (!caller_extended(c, &m))
@@ -147,9 +148,9 @@
 }
 
 /**
- * All has been written. Closing while something of the caller's is unread would reset the
- * connection and take the last message with it, so that the caller could not tell that its
- * statement did not run. It closes first, or time is up.
+ * Shuts down the sending side after all output is sent, and waits for the caller to close the
+ * connection or for a timeout. Closing a socket with unread input resets the connection and may
+ * discard the last message, so that the caller would not learn that its statement did not run.
  */
 static void caller_linger(struct caller *c)
 {
@@ -168,8 +169,8 @@
 	struct evbuffer *out = bufferevent_get_output(c->bev);
 
 	while (!c->closing && c->state != CALLER_BUSY &&
-	       evbuffer_get_length(out) < CALLER_UNREAD_MAX) {
-		if (!caller_take(c))
+	       evbuffer_get_length(out) < CALLER_UNSENT_MAX_BYTES) {
+		if (!caller_handle_message(c))
 			break;
 	}
 	c->partial = evbuffer_get_length(bufferevent_get_input(c->bev)) > 0;
@@ -181,8 +182,8 @@
 		return;
 	}
 	/*
-	 * A caller that sends ahead of its answers waits: its input is not read past one longest
-	 * message.
+	 * Limits how far a caller can send ahead of the responses: at most one message of the
+	 * maximum length is read in advance.
 	 */
 	bufferevent_setwatermark(c->bev, EV_READ, 0, caller_settings(c)->message_max + 64);
 	if (c->state == CALLER_BUSY)
@@ -195,7 +196,7 @@
 {
 	struct caller *c = arg;
 
-	c->heard_us = now_us();
+	c->last_received_us = now_us();
 	if (c->closing)
 		evbuffer_drain(bufferevent_get_input(bev),
 			       evbuffer_get_length(bufferevent_get_input(bev)));
@@ -250,7 +251,7 @@
 	net_set_nodelay(fd);
 	c->callers = cs;
 	c->max_age_us = -1;
-	c->heard_us = now_us();
+	c->last_received_us = now_us();
 	c->pid = ++cs->next_pid;
 	c->cancel_key = (uint32_t)random_bits();
 	c->bev = bufferevent_socket_new(k->base, fd, BEV_OPT_CLOSE_ON_FREE);
@@ -267,14 +268,14 @@
 	caller_arm(c);
 }
 
-/** A key may have been withdrawn: sessions opened with it end, also those that are idle. */
+/** After a change of the configuration, ends idle sessions whose key has been withdrawn. */
 static void callers_check_keys(void *owner)
 {
 	struct callers *cs = owner;
 	struct caller *c, *next;
 
 	TAILQ_FOREACH_SAFE(c, &cs->list, link, next) {
-		if (c->state != CALLER_READY || c->closing || caller_key_holds(c))
+		if (c->state != CALLER_READY || c->closing || caller_key_valid(c))
 			continue;
 		log_info("key-withdrawn", LOG_STR("team", c->team), LOG_STR("key", c->key_id));
 		caller_error(c, true, "28P01", "the key has been withdrawn", "not run", NULL);
@@ -282,7 +283,7 @@
 	}
 }
 
-/** Idle callers are told to go; one inside a transaction may end it first. */
+/** Ends idle sessions with an error. A session in a transaction may end the transaction first. */
 static void callers_drain(struct service *s)
 {
 	struct callers *cs = (struct callers *)s;
--- a/src/caller.h
+++ b/src/caller.h
@@ -1,11 +1,14 @@
 /**
  * @file caller.h
- * Callers: connections that speak the PostgreSQL protocol, one session each.
+ * Callers: client connections that speak the PostgreSQL protocol. Each connection is one session.
  *
- * caller.c           accepting, timeouts, closing, the loop over messages
- * caller-auth.c      the first messages: TLS, the key, the session's first settings
- * caller-setting.c   the session's mangoloom.* settings
- * caller-query.c     running a statement and telling its outcome
+ * A session token names the log positions of the newest writes of a session, so that its reads see
+ * them on any VM. A once-id marks a statement that must not run twice.
+ *
+ * caller.c           accepting, timeouts, closing, reading of messages
+ * caller-auth.c      TLS negotiation, authentication by key, settings at startup
+ * caller-setting.c   the mangoloom.* settings of a session
+ * caller-query.c     execution of a statement and the response to it
  * caller-extended.c  prepared statements and portals
  */
 #ifndef CALLER_H
@@ -21,14 +24,14 @@
 #include <event2/bufferevent.h>
 #include <openssl/ssl.h>
 
-/** Longest text of a setting's value. */
+/** Size of the buffer for the value of a setting. */
 #define CALLER_VALUE_SIZE TOKEN_SET_SIZE
 
 enum caller_state {
 	CALLER_STARTUP,	 /**< before the first message */
-	CALLER_PASSWORD, /**< the key was asked for */
+	CALLER_PASSWORD, /**< waits for the key */
 	CALLER_READY,	 /**< between messages */
-	CALLER_BUSY,	 /**< a statement runs */
+	CALLER_BUSY,	 /**< a statement is running */
 	CALLER_CLOSED,	 /**< to be freed */
 };
 
@@ -47,8 +50,8 @@
 	ml_param *params;
 	unsigned n_params;
 	int result_format;
-	bool mixed_formats; /**< columns of the result in different formats, which is not served */
-	bool describe;	    /**< the row's shape goes before the rows */
+	bool mixed_formats; /**< result columns in different formats, which is not supported */
+	bool describe;	    /**< RowDescription is to be sent before the rows */
 };
 
 struct caller {
@@ -61,26 +64,26 @@
 	uint32_t cancel_key;
 	char team[NAME_SIZE];
 	char key_id[NAME_SIZE];
-	int64_t heard_us;
-	bool partial; /**< a message has begun to arrive */
+	int64_t last_received_us;
+	bool partial; /**< a message has arrived in part */
 
 	char kind[NAME_SIZE];
 	char once[NAME_SIZE];
-	int64_t max_age_us; /**< -1: as the route says */
-	int64_t deadline_us;
+	int64_t max_age_us;  /**< maximum age of data for reads; -1: as configured for the route */
+	int64_t deadline_us; /**< maximum duration of a request; 0: as configured */
 	struct token_set *tokens;
 
 	struct entry_request *request;
 	struct entry_tx tx;
 	bool tx_failed;
 	bool simple;	    /**< the running statement came as a simple query */
-	bool skip_to_sync;  /**< an error was told; messages up to Sync are passed over */
-	bool closing;	    /**< to be closed once what was written has left */
-	bool lingering;	    /**< all was written; waits for the caller to close */
+	bool skip_to_sync;  /**< after an error, messages up to Sync are ignored */
+	bool closing;	    /**< to be closed once all output is sent */
+	bool lingering;	    /**< all output is sent; waits for the caller to close */
 	ml_control control; /**< of the running statement */
 	char *sql;	    /**< of the running simple query */
 	struct portal *running_portal;
-	GHashTable *prepared; /**< made when first used */
+	GHashTable *prepared; /**< created at first use, as is @a portals */
 	GHashTable *portals;
 };
 TAILQ_HEAD(caller_list, caller);
@@ -90,7 +93,7 @@
 	struct evconnlistener *listener;
 	struct caller_list list;
 	unsigned n;
-	unsigned n_closing; /**< of them, those that are served no more */
+	unsigned n_closing; /**< number of @a n that are closing */
 	uint32_t next_pid;
 	SSL_CTX *tls;
 	bool draining;
@@ -101,23 +104,23 @@
 unsigned callers_count(struct callers *cs);
 
 /* caller.c */
-/** Have the session's connection, plain or under TLS, call back here. */
+/** Sets the callbacks of the connection, in clear text or TLS. */
 void caller_attach(struct caller *c);
-/** Send @a out, and free it. */
+/** Sends @a out and frees it. */
 void caller_send(struct caller *c, GByteArray *out);
-/** Tell an error; @a fatal closes the connection once it is written. */
+/** Sends an error; @a fatal closes the connection once it is sent. */
 void caller_error(struct caller *c, bool fatal, const char *sqlstate, const char *message,
 		  const char *detail, const char *hint);
-/** Serve @a c no more; it is closed once its last words have left. */
-void caller_ends(struct caller *c);
+/** Stops serving @a c. The connection is closed once all output is sent. */
+void caller_begin_close(struct caller *c);
 void caller_close(struct caller *c);
-/** Go on with the messages that have arrived. */
+/** Handles the messages that have arrived. */
 void caller_process(struct caller *c);
-/** The state that ReadyForQuery tells. */
+/** Returns the transaction status for ReadyForQuery: 'I', 'T' or 'E'. */
 char caller_tx_status(const struct caller *c);
 const struct settings *caller_settings(const struct caller *c);
-/** The key that the session was opened with still holds. */
-bool caller_key_holds(struct caller *c);
+/** Returns whether the key that opened the session is still valid. */
+bool caller_key_valid(struct caller *c);
 
 /* caller-auth.c */
 void caller_startup(struct caller *c, struct pg_message *m);
@@ -125,28 +128,29 @@
 
 /* caller-setting.c */
 /**
- * Set @a name. @return false when the value is wrong or the setting is not served; @a why tells.
+ * Sets @a name. @return false with the reason in @a why if the value is invalid or the setting is
+ * not supported
  */
 bool caller_set(struct caller *c, const char *name, const char *value, const char **why);
-/** The setting's value in @a buf of CALLER_VALUE_SIZE bytes. @return false for an unknown one. */
+/** Copies the value to @a buf of CALLER_VALUE_SIZE bytes. @return false for an unknown setting */
 bool caller_show(const struct caller *c, const char *name, char *buf);
 
 /* caller-query.c */
 void caller_query(struct caller *c, struct pg_message *m);
 /**
- * Run one statement, of a simple query or of a portal.
- * @return whether it is under way; else it has been answered already
+ * Runs one statement of a simple query or of a portal.
+ * @return whether it is running; if not, the response has been sent already
  */
 bool caller_run(struct caller *c, const char *sql, const struct portal *p, ml_op op);
-/** Tell that nothing ran. */
-void caller_not_run(struct caller *c, const char *sqlstate, const char *message,
-		    int64_t retry_after_us);
+/** Sends an error for a statement that was not run. */
+void caller_refuse(struct caller *c, const char *sqlstate, const char *message,
+		   int64_t retry_after_us);
 
 /* caller-extended.c */
-/** Handle one message of the extended protocol. @return false for a type that is not of it. */
+/** Handles a message of the extended protocol. @return false if it is of another type */
 bool caller_extended(struct caller *c, struct pg_message *m);
 void caller_extended_free(struct caller *c);
-/** The running portal's statement has been answered. */
+/** Frees the running portal after the response to its statement. */
 void caller_extended_done(struct caller *c);
 
 #endif
--- a/src/entry.c
+++ b/src/entry.c
@@ -1,4 +1,4 @@
-/** @file entry.c Requests on the VM that their caller is connected to. */
+/** @file entry.c Requests at the daemon that their caller is connected to. */
 #include "entry.h"
 
 #include "fleet.h"
@@ -8,17 +8,17 @@
 
 #include <string.h>
 
-/** How long a member that could not serve is left alone. */
-#define AVOID_US (100 * USEC_PER_MSEC)
-/** How long a replica that lacked a position is not asked again. */
-#define BEHIND_US (20 * USEC_PER_MSEC)
-/** Time on top of a request's own for its home's last word to arrive. */
+/** How long a replica that could not serve a request is avoided. */
+#define AVOID_REPLICA_US (100 * USEC_PER_MSEC)
+/** How long a replica that lacked the requested log position is not tried again. */
+#define AVOID_BEHIND_US (20 * USEC_PER_MSEC)
+/** Time after the deadline of a request for the final response of its home to arrive. */
 #define ANSWER_GRACE_US (100 * USEC_PER_MSEC)
 
-/** What is known here of one pool's members. */
+/** State of the members of one pool, as known to this daemon. */
 struct entry_pool {
 	char name[NAME_SIZE];
-	uint64_t version; /**< of the configuration that the members are from */
+	uint64_t version; /**< version of the configuration that @a view was built from */
 	struct route_view view;
 };
 
@@ -33,7 +33,7 @@
 	struct admission admission;
 	struct entry *e;
 	ml_exec_args args;
-	char kind[NAME_SIZE]; /**< for the log */
+	char kind[NAME_SIZE]; /**< only for the log */
 	char pool[NAME_SIZE];
 	char member[NAME_SIZE];
 	char address[ADDRESS_SIZE];
@@ -46,8 +46,8 @@
 	bool tokens_overflow;
 	struct rpc_call *call;
 	struct event *timer;
-	enum outcome refused; /**< to be told from the loop */
-	int64_t refused_retry_us;
+	enum outcome refused; /**< refusal to report from the event loop; OUTCOME_DONE: none */
+	int64_t refused_retry_after_us;
 	bool cancelled;
 	entry_done cb;
 	void *arg;
@@ -63,10 +63,10 @@
 	return fleet_of(e->service.kernel);
 }
 
-/** Bring the view's members up to the configuration in force. */
+/** Updates the members of the view to the current configuration. */
 static void pool_refresh(struct entry *e, struct entry_pool *p, const struct conf_pool *conf)
 {
-	const char *here = e->service.kernel->settings->data_center;
+	const char *local_data_center = e->service.kernel->settings->data_center;
 	struct route_view next = {.n = conf->n, .primary = -1};
 	unsigned i;
 
@@ -78,7 +78,7 @@
 			*m = p->view.member[old];
 		g_strlcpy(m->name, conf->member[i].name, sizeof(m->name));
 		m->leaving = conf_member_leaves(&conf->member[i]);
-		m->near = strcmp(conf->member[i].data_center, here) == 0;
+		m->near = strcmp(conf->member[i].data_center, local_data_center) == 0;
 		if (old >= 0 && old == p->view.primary) {
 			next.primary = (int)i;
 			next.primary_term = p->view.primary_term;
@@ -108,7 +108,7 @@
 	return p;
 }
 
-/* The end */
+/* Completion */
 
 static void request_free(struct entry_request *r)
 {
@@ -120,8 +120,8 @@
 	g_free(r);
 }
 
-static void request_end(struct entry_request *r, enum outcome o, const ml_exec_res *res,
-			int64_t retry_after_us)
+static void request_finish(struct entry_request *r, enum outcome o, const ml_exec_res *res,
+			   int64_t retry_after_us)
 {
 	struct entry_answer a = {
 		.outcome = o, .retry_after_us = retry_after_us, .tx = r->tx, .sqlstate = ""};
@@ -160,10 +160,10 @@
 	request_free(r);
 }
 
-void entry_forget(struct entry_request *r)
+void entry_detach(struct entry_request *r)
 {
 	r->cb = NULL;
-	/* What has not been sent yet is never sent; a call that is out ends by itself. */
+	/* A waiting request is dropped. If a call is in flight, exec_done() frees the request. */
 	if (r->call == NULL)
 		request_free(r);
 }
@@ -179,12 +179,12 @@
 	return true;
 }
 
-/* One try */
+/* Attempts */
 
 static void request_try(struct entry_request *r);
 
-/** What the view learns from an answer, or from the lack of one. */
-static void learn(struct entry_request *r, enum outcome o, const ml_exec_res *res)
+/** Updates the view of the pool from a response, or from a failed call (@a res is NULL). */
+static void update_view(struct entry_request *r, enum outcome o, const ml_exec_res *res)
 {
 	struct entry_pool *p = pool_get(r->e, r->pool);
 	int64_t now = now_us();
@@ -205,12 +205,12 @@
 			m->applied = (struct pos){res->pos.term, res->pos.lsn};
 		break;
 	case OUTCOME_BEHIND:
-		m->behind_until_us = now + BEHIND_US;
+		m->behind_until_us = now + AVOID_BEHIND_US;
 		break;
 	case OUTCOME_NOT_PRIMARY:
 		/*
-		 * The member says itself that it does not lead, and names nobody else: ask the
-		 * others.
+		 * The member reports that it is not the primary and names no newer one: the
+		 * primary is unknown, and the other members are tried.
 		 */
 		if (p->view.primary == i &&
 		    (res == NULL || res->primary_term <= p->view.primary_term))
@@ -220,31 +220,31 @@
 	case OUTCOME_LEAVING:
 	case OUTCOME_QUEUE_FULL:
 		if (r->as_replica)
-			m->avoid_until_us = now + AVOID_US;
+			m->avoid_until_us = now + AVOID_REPLICA_US;
 		break;
 	default:
 		break;
 	}
 }
 
-/** A try has ended with @a o: answer, refuse, or try again. */
-static void request_ended(struct entry_request *r, enum outcome o, const ml_exec_res *res)
+/** Handles the end of an attempt with @a o: answers, refuses or retries. */
+static void attempt_done(struct entry_request *r, enum outcome o, const ml_exec_res *res)
 {
 	int64_t hint = res != NULL ? (int64_t)res->retry_after_us : 0;
 	struct retry_decision d;
 
-	learn(r, o, res);
+	update_view(r, o, res);
 	r->retry.attempts++;
-	/* A replica that cannot serve a read leaves the primary to be asked. */
+	/* A read that a replica could not serve in time can still be served by the primary. */
 	if (r->as_replica && (o == OUTCOME_QUEUE_FULL || o == OUTCOME_TOO_LATE))
 		o = OUTCOME_BEHIND;
 	d = outcome_next(o, &r->retry, hint, now_us());
 	switch (d.step) {
 	case STEP_ANSWER:
-		request_end(r, o, res, 0);
+		request_finish(r, o, res, 0);
 		return;
 	case STEP_REFUSE:
-		request_end(r, o, res, d.after_us);
+		request_finish(r, o, res, d.after_us);
 		return;
 	case STEP_RETRY:
 		stat_add(STAT_RETRIES, 1);
@@ -266,8 +266,8 @@
 	r->call = NULL;
 	if (r->cb == NULL) {
 		/*
-		 * The caller is gone; a transaction that was begun for it must not keep its
-		 * connection.
+		 * The caller has disconnected. A transaction that was begun for it is rolled back,
+		 * since it would otherwise occupy its database connection.
 		 */
 		if (status == RPC_DONE && res->transaction != 0) {
 			struct entry_tx tx = {.id = res->transaction};
@@ -282,23 +282,23 @@
 	}
 	if (status == RPC_DONE && res->outcome >= 0 && res->outcome < OUTCOMES) {
 		/*
-		 * The home leaves and the news of it has not come here yet: ask it, and use another
-		 * VM meanwhile.
+		 * The home is shutting down, and that update has not arrived here yet: probe the
+		 * home, and use another VM in the meantime.
 		 */
 		if (res->outcome == OUTCOME_LEAVING && r->tx.id == 0)
 			fleet_suspect(entry_fleet(r->e), r->address);
-		request_ended(r, (enum outcome)res->outcome, res);
+		attempt_done(r, (enum outcome)res->outcome, res);
 		return;
 	}
 	fleet_suspect(entry_fleet(r->e), r->address);
 	o = status == RPC_NOT_SENT ? OUTCOME_NOT_SENT : OUTCOME_LOST;
 	/*
-	 * A transaction's home is gone: its connection closed, so all before its COMMIT was rolled
-	 * back.
+	 * The home of the transaction can't be reached. The database connection closes with the
+	 * home, so everything before COMMIT is rolled back.
 	 */
 	if (r->tx.id != 0 && (r->args.control != ML_CONTROL_COMMIT || status == RPC_NOT_SENT))
 		o = OUTCOME_TX_LOST;
-	request_ended(r, o, NULL);
+	attempt_done(r, o, NULL);
 }
 
 static void request_send(struct entry_request *r)
@@ -313,14 +313,15 @@
 			    left + ANSWER_GRACE_US, exec_done, r);
 }
 
+/** Refuses from the event loop, since entry_run() must return before the callback is called. */
 static void request_refuse(struct entry_request *r, enum outcome o, int64_t retry_after_us)
 {
 	r->refused = o;
-	r->refused_retry_us = retry_after_us;
+	r->refused_retry_after_us = retry_after_us;
 	kernel_arm(r->timer, 0);
 }
 
-/** Choose the member, and its home, for the next try. */
+/** Chooses the member and its home for the next attempt, and sends the request. */
 static void request_try(struct entry_request *r)
 {
 	struct entry_pool *p = pool_get(r->e, r->pool);
@@ -329,19 +330,22 @@
 	const char *address;
 
 	if (p == NULL) {
-		request_end(r, OUTCOME_NO_ROUTE, NULL, 0);
+		request_finish(r, OUTCOME_NO_ROUTE, NULL, 0);
 		return;
 	}
 	req.token = (struct pos){r->args.token.term, r->args.token.lsn};
 	req.has_token = req.token.term != 0;
 	req.max_age_us = r->max_age_us;
 	req.random = random_bits();
-	/* A session that wrote where its token no longer tells reads what is sure to have it. */
+	/*
+	 * The session wrote to more pools than its token holds, and may have written to this one:
+	 * the read must see all acknowledged writes.
+	 */
 	if (r->tokens_overflow && !req.has_token)
 		req.max_age_us = 0;
 	out = route_choose(&p->view, &req, now_us());
 	if (out.verdict == ROUTE_WAIT) {
-		request_ended(r, OUTCOME_NO_CONNECTION, NULL);
+		attempt_done(r, OUTCOME_NO_CONNECTION, NULL);
 		return;
 	}
 	g_strlcpy(r->member, p->view.member[out.member].name, sizeof(r->member));
@@ -352,7 +356,7 @@
 		 LOG_STR("cause", route_cause_name(out.cause)), LOG_STR("home", address),
 		 LOG_NUM("attempt", r->retry.attempts));
 	if (address == NULL) {
-		request_ended(r, OUTCOME_NOT_SENT, NULL);
+		attempt_done(r, OUTCOME_NOT_SENT, NULL);
 		return;
 	}
 	g_strlcpy(r->address, address, sizeof(r->address));
@@ -364,15 +368,15 @@
 	struct entry_request *r = arg;
 
 	if (r->refused != OUTCOME_DONE) {
-		request_end(r, r->refused, NULL, r->refused_retry_us);
+		request_finish(r, r->refused, NULL, r->refused_retry_after_us);
 		return;
 	}
 	request_try(r);
 }
 
-/* The start */
+/* Start */
 
-static void admitted(struct admission *a, bool ok, int64_t retry_after_us)
+static void on_admitted(struct admission *a, bool ok, int64_t retry_after_us)
 {
 	struct entry_request *r = (struct entry_request *)a;
 
@@ -383,7 +387,7 @@
 	if (shares_within_rate(shares_of(r->e->service.kernel), r->args.team))
 		stat_add(STAT_REFUSED_WITHIN_RATE, 1);
 	stat_add(STAT_OVER_RATE, 1);
-	request_end(r, OUTCOME_OVER_RATE, NULL, retry_after_us);
+	request_finish(r, OUTCOME_OVER_RATE, NULL, retry_after_us);
 }
 
 static void request_admit(struct entry_request *r)
@@ -402,20 +406,21 @@
 	}
 }
 
-/** Take the route's settings. @return false when there is no route. */
-static bool request_route(struct entry_request *r, const struct entry_ask *ask)
+/** Applies the settings of the route. @return false if there is no route */
+static bool request_route(struct entry_request *r, const struct entry_query *query)
 {
-	const struct conf_route *route = conf_route(entry_fleet(r->e)->conf, ask->team, ask->kind);
-	int64_t deadline = ask->deadline_us;
+	const struct conf_route *route =
+		conf_route(entry_fleet(r->e)->conf, query->team, query->kind);
+	int64_t deadline = query->deadline_us;
 
 	if (route == NULL)
 		return false;
 	g_strlcpy(r->pool, route->pool, sizeof(r->pool));
 	r->route_write = route->write;
-	r->retry.write = route->write || ask->control != ML_CONTROL_NONE;
-	r->args.write = r->retry.write && ask->op != ML_DESCRIBE;
-	r->max_age_us =
-		ask->max_age_us >= 0 ? ask->max_age_us : (int64_t)route->max_age_ms * USEC_PER_MSEC;
+	r->retry.write = route->write || query->control != ML_CONTROL_NONE;
+	r->args.write = r->retry.write && query->op != ML_DESCRIBE;
+	r->max_age_us = query->max_age_us >= 0 ? query->max_age_us
+					       : (int64_t)route->max_age_ms * USEC_PER_MSEC;
 	if (deadline == 0)
 		deadline = (int64_t)route->deadline_ms * USEC_PER_MSEC;
 	if (deadline == 0)
@@ -425,53 +430,53 @@
 	return true;
 }
 
-static void request_ask(struct entry_request *r, const struct entry_ask *ask)
+static void request_fill_args(struct entry_request *r, const struct entry_query *query)
 {
 	struct pos token;
 
-	r->args.team = (char *)ask->team;
-	r->args.once = (char *)ask->once;
-	r->args.sql = (char *)ask->sql;
-	r->args.control = ask->control;
-	r->args.op = ask->op;
-	r->args.describe_row = ask->describe_row;
-	r->args.result_format = ask->result_format;
-	r->args.params.params_val = ask->params;
-	r->args.params.params_len = ask->n_params;
-	r->args.weight = shares_weight(shares_of(r->e->service.kernel), ask->team);
-	token = token_set_find(ask->tokens, r->pool);
+	r->args.team = (char *)query->team;
+	r->args.once = (char *)query->once;
+	r->args.sql = (char *)query->sql;
+	r->args.control = query->control;
+	r->args.op = query->op;
+	r->args.describe_row = query->describe_row;
+	r->args.result_format = query->result_format;
+	r->args.params.params_val = query->params;
+	r->args.params.params_len = query->n_params;
+	r->args.weight = shares_weight(shares_of(r->e->service.kernel), query->team);
+	token = token_set_find(query->tokens, r->pool);
 	r->args.token.term = token.term;
 	r->args.token.lsn = token.lsn;
-	r->tokens_overflow = ask->tokens->overflow;
+	r->tokens_overflow = query->tokens->overflow;
 }
 
-struct entry_request *entry_run(struct entry *e, const struct entry_ask *ask, entry_done cb,
+struct entry_request *entry_run(struct entry *e, const struct entry_query *query, entry_done cb,
 				void *arg)
 {
 	struct entry_request *r = g_new0(struct entry_request, 1);
 
 	r->e = e;
-	r->admission.done = admitted;
+	r->admission.done = on_admitted;
 	r->cb = cb;
 	r->arg = arg;
 	r->started_us = now_us();
 	r->timer = event_new(e->service.kernel->base, -1, 0, request_timer, r);
 	r->args.request = ++e->next_request;
-	r->args.team = (char *)ask->team;
-	g_strlcpy(r->kind, ask->kind, sizeof(r->kind));
-	r->tx = *ask->tx;
+	r->args.team = (char *)query->team;
+	g_strlcpy(r->kind, query->kind, sizeof(r->kind));
+	r->tx = *query->tx;
 	e->open++;
 	stat_add(STAT_REQUESTS, 1);
-	if (!request_route(r, ask)) {
+	if (!request_route(r, query)) {
 		request_refuse(r, OUTCOME_NO_ROUTE, 0);
 		return r;
 	}
-	request_ask(r, ask);
+	request_fill_args(r, query);
 	if (r->tx.id == 0) {
 		request_admit(r);
 		return r;
 	}
-	/* Inside a transaction the place is given; it was admitted as a whole. */
+	/* A transaction stays at its member and home, and was admitted as a whole at its start. */
 	r->retry.in_transaction = true;
 	r->retry.write = true;
 	r->args.write = r->tx.write;
--- a/src/pgwire.c
+++ b/src/pgwire.c
@@ -1,27 +1,28 @@
-/** @file pgwire.c Codec of the PostgreSQL protocol. */
+/** @file pgwire.c Encoding and decoding of messages of the PostgreSQL protocol. */
 #include "pgwire.h"
 
 #include <arpa/inet.h>
 #include <string.h>
 
-#define PG_LENGTH_SIZE 4
-#define PG_TYPE_TEXT 25
+#define PG_LENGTH_BYTES 4
+#define PG_OID_TEXT 25
 
-enum pg_take pg_take(struct evbuffer *in, bool first, size_t max, struct pg_message *m)
+enum pg_read_result pg_message_read(struct evbuffer *in, bool first, size_t max,
+				    struct pg_message *m)
 {
-	size_t header = first ? PG_LENGTH_SIZE : PG_LENGTH_SIZE + 1;
-	uint8_t head[PG_LENGTH_SIZE + 1];
+	size_t header = first ? PG_LENGTH_BYTES : PG_LENGTH_BYTES + 1;
+	uint8_t head[PG_LENGTH_BYTES + 1];
 	uint32_t len;
 
 	if (evbuffer_copyout(in, head, header) < (ssize_t)header)
-		return PG_MORE;
-	memcpy(&len, head + header - PG_LENGTH_SIZE, sizeof(len));
+		return PG_INCOMPLETE;
+	memcpy(&len, head + header - PG_LENGTH_BYTES, sizeof(len));
 	len = ntohl(len);
-	if (len < PG_LENGTH_SIZE || len - PG_LENGTH_SIZE > max)
-		return PG_BAD;
-	len -= PG_LENGTH_SIZE;
+	if (len < PG_LENGTH_BYTES || len - PG_LENGTH_BYTES > max)
+		return PG_INVALID;
+	len -= PG_LENGTH_BYTES;
 	if (evbuffer_get_length(in) < header + len)
-		return PG_MORE;
+		return PG_INCOMPLETE;
 	evbuffer_drain(in, header);
 	m->type = first ? '\0' : (char)head[0];
 	m->len = len;
@@ -89,26 +90,26 @@
 	return text;
 }
 
-bool pg_read_ended(const struct pg_reader *r)
+bool pg_read_at_end(const struct pg_reader *r)
 {
 	return !r->bad && r->p == r->end;
 }
 
 guint pg_begin(GByteArray *out, char type)
 {
-	guint mark;
+	guint start;
 
 	pg_put_u8(out, (uint8_t)type);
-	mark = out->len;
+	start = out->len;
 	pg_put_u32(out, 0);
-	return mark;
+	return start;
 }
 
-void pg_end(GByteArray *out, guint mark)
+void pg_end(GByteArray *out, guint start)
 {
-	uint32_t len = htonl(out->len - mark);
+	uint32_t len = htonl(out->len - start);
 
-	memcpy(out->data + mark, &len, sizeof(len));
+	memcpy(out->data + start, &len, sizeof(len));
 }
 
 void pg_put_bytes(GByteArray *out, const void *p, size_t len)
@@ -148,55 +149,55 @@
 
 void pg_put_auth(GByteArray *out, uint32_t request)
 {
-	guint mark = pg_begin(out, 'R');
+	guint start = pg_begin(out, 'R');
 
 	pg_put_u32(out, request);
-	pg_end(out, mark);
+	pg_end(out, start);
 }
 
 void pg_put_parameter(GByteArray *out, const char *name, const char *value)
 {
-	guint mark = pg_begin(out, 'S');
+	guint start = pg_begin(out, 'S');
 
 	pg_put_text(out, name);
 	pg_put_text(out, value);
-	pg_end(out, mark);
+	pg_end(out, start);
 }
 
 void pg_put_ready(GByteArray *out, char status)
 {
-	guint mark = pg_begin(out, 'Z');
+	guint start = pg_begin(out, 'Z');
 
 	pg_put_u8(out, (uint8_t)status);
-	pg_end(out, mark);
+	pg_end(out, start);
 }
 
 void pg_put_complete(GByteArray *out, const char *tag)
 {
-	guint mark = pg_begin(out, 'C');
+	guint start = pg_begin(out, 'C');
 
 	pg_put_text(out, tag);
-	pg_end(out, mark);
+	pg_end(out, start);
 }
 
 void pg_put_one_value(GByteArray *out, const char *column, const char *value, const char *tag)
 {
-	guint mark = pg_begin(out, 'T');
+	guint start = pg_begin(out, 'T');
 
 	pg_put_u16(out, 1);
 	pg_put_text(out, column);
 	pg_put_u32(out, 0);
 	pg_put_u16(out, 0);
-	pg_put_u32(out, PG_TYPE_TEXT);
+	pg_put_u32(out, PG_OID_TEXT);
 	pg_put_u16(out, (uint16_t)-1);
 	pg_put_u32(out, (uint32_t)-1);
 	pg_put_u16(out, 0);
-	pg_end(out, mark);
-	mark = pg_begin(out, 'D');
+	pg_end(out, start);
+	start = pg_begin(out, 'D');
 	pg_put_u16(out, 1);
 	pg_put_u32(out, (uint32_t)strlen(value));
 	pg_put_bytes(out, value, strlen(value));
-	pg_end(out, mark);
+	pg_end(out, start);
 	pg_put_complete(out, tag);
 }
 
@@ -210,7 +211,7 @@
 
 void pg_put_error(GByteArray *out, const struct pg_error *e)
 {
-	guint mark = pg_begin(out, 'E');
+	guint start = pg_begin(out, 'E');
 
 	put_error_field(out, 'S', e->severity);
 	put_error_field(out, 'V', e->severity);
@@ -219,5 +220,5 @@
 	put_error_field(out, 'D', e->detail);
 	put_error_field(out, 'H', e->hint);
 	pg_put_u8(out, 0);
-	pg_end(out, mark);
+	pg_end(out, start);
 }
--- a/src/session-leave.c
+++ b/src/session-leave.c
@@ -1,6 +1,7 @@
 /**
  * @file session-leave.c
- * Sessions that should go on elsewhere: this VM leaves, or is cut off from what its callers need.
+ * Closing of sessions that are better served by another VM: this VM is shutting down, or it is cut
+ * off from the owners that its callers need.
  */
 #include "session-state.h"
 
@@ -10,28 +11,29 @@
 #include <string.h>
 
 /**
- * After this VM began to leave, sessions at rest are closed: the balancer asks once a second and
- * takes two misses before it sends no new ones.
+ * Time from the start of the shutdown until idle sessions are closed. The load balancer checks this
+ * VM once a second and stops sending new connections after two failed checks.
  */
-#define LEAVE_IDLE_US (2200 * USEC_PER_MSEC)
-/** And those in a transaction, which have had half of the grace by then. */
-#define LEAVE_TX_US (3500 * USEC_PER_MSEC)
+#define DRAIN_IDLE_US (2200 * USEC_PER_MSEC)
+/** Time until sessions in a transaction are closed too; half of the grace period of a shutdown. */
+#define DRAIN_TX_US (3500 * USEC_PER_MSEC)
 #define TICK_US (50 * USEC_PER_MSEC)
-/** Another data centre that was heard so lately is not looked for among all VMs. */
-#define HEARD_FRESH_US (200 * USEC_PER_MSEC)
+/** While the last contact with another data centre is this recent, no other VM is checked. */
+#define RECENT_CONTACT_US (200 * USEC_PER_MSEC)
 
-bool session_leaving(const struct session *s)
+bool session_must_close(const struct session *s)
 {
-	return session_kernel(s)->draining && now_us() - s->owner->left_us > LEAVE_IDLE_US;
+	return session_kernel(s)->draining &&
+	       now_us() - s->sessions->drain_started_us > DRAIN_IDLE_US;
 }
 
-void session_note(struct session *s, enum outcome o)
+void session_count_outcome(struct session *s, enum outcome o)
 {
 	switch (o) {
 	case OUTCOME_DONE:
-		/* What a replica served would be served elsewhere as well. */
+		/* A read that a replica served is not counted: other VMs would serve it too. */
 		if (s->reader == READER_OWNER && s->address[0] != '\0')
-			ready_note(&s->owner->ready, true);
+			ready_note(&s->sessions->ready, true);
 		return;
 	case OUTCOME_NOT_PRIMARY:
 	case OUTCOME_BEHIND:
@@ -41,52 +43,54 @@
 	case OUTCOME_LEAVING:
 	case OUTCOME_LOST:
 	case OUTCOME_TX_LOST:
-		ready_note(&s->owner->ready, false);
+		ready_note(&s->sessions->ready, false);
 		return;
 	default:
 		return;
 	}
 }
 
-/** When a VM of another data centre was last heard; 0 when no such VM is known. */
-static int64_t heard_us(struct sessions *all, int64_t now)
+/** Returns the time of the last contact with another data centre; 0 if no VM there is known. */
+static int64_t last_contact_us(struct sessions *all, int64_t now)
 {
 	struct kernel *k = all->service.kernel;
 	const struct fleet *f = fleet_of(k);
 	const struct rpc *r = rpc_of(k);
 	const struct vm *vm;
-	bool any = false;
+	bool known = false;
 
-	all->heard_us = MAX(all->heard_us, rpc_heard_us(r, all->heard_from));
-	if (all->heard_from[0] != '\0' && now - all->heard_us < HEARD_FRESH_US)
-		return all->heard_us;
+	all->last_contact_us =
+		MAX(all->last_contact_us, rpc_heard_us(r, all->last_contact_address));
+	if (all->last_contact_address[0] != '\0' && now - all->last_contact_us < RECENT_CONTACT_US)
+		return all->last_contact_us;
 	TAILQ_FOREACH(vm, &f->peers.vms, link) {
-		int64_t heard;
+		int64_t contact_us;
 
 		if (!vm->listed || strcmp(vm->data_center, f->peers.self->data_center) == 0)
 			continue;
-		any = true;
-		heard = rpc_heard_us(r, vm->address);
-		if (heard <= all->heard_us)
+		known = true;
+		contact_us = rpc_heard_us(r, vm->address);
+		if (contact_us <= all->last_contact_us)
 			continue;
-		all->heard_us = heard;
-		g_strlcpy(all->heard_from, vm->address, sizeof(all->heard_from));
-		if (now - heard < HEARD_FRESH_US)
+		all->last_contact_us = contact_us;
+		g_strlcpy(all->last_contact_address, vm->address,
+			  sizeof(all->last_contact_address));
+		if (now - contact_us < RECENT_CONTACT_US)
 			break;
 	}
-	return any ? all->heard_us : 0;
+	return known ? all->last_contact_us : 0;
 }
 
-static void look(struct sessions *all, int64_t now)
+static void update_ready(struct sessions *all, int64_t now)
 {
 	bool was_away = all->ready.away;
 	unsigned served = all->ready.served, unserved = all->ready.unserved;
-	int64_t heard = heard_us(all, now);
+	int64_t contact_us = last_contact_us(all, now);
 
-	ready_judge(&all->ready, heard, now);
+	ready_judge(&all->ready, contact_us, now);
 	if (all->ready.away != was_away)
 		log_warn("callers", LOG_STR("state", all->ready.away ? "sent away" : "taken"),
-			 LOG_NUM("heard_ms", (now - heard) / USEC_PER_MSEC),
+			 LOG_NUM("heard_ms", (now - contact_us) / USEC_PER_MSEC),
 			 LOG_NUM("served", served), LOG_NUM("unserved", unserved));
 }
 
@@ -95,14 +99,14 @@
 	struct sessions *all = arg;
 	bool draining = all->service.kernel->draining;
 	int64_t now = now_us();
-	int64_t gone = draining ? now - all->left_us : 0;
+	int64_t draining_us = draining ? now - all->drain_started_us : 0;
 	struct session *s, *next;
 
-	look(all, now);
-	if (gone < LEAVE_IDLE_US && !ready_close_idle(&all->ready, now))
+	update_ready(all, now);
+	if (draining_us < DRAIN_IDLE_US && !ready_close_idle(&all->ready, now))
 		return;
-	TAILQ_FOREACH_SAFE(s, &all->sessions, link, next) {
-		if (s->busy || (s->tx != TX_NONE && gone < LEAVE_TX_US))
+	TAILQ_FOREACH_SAFE(s, &all->list, link, next) {
+		if (s->busy || (s->tx != TX_NONE && draining_us < DRAIN_TX_US))
 			continue;
 		s->ops->close(s, s->arg);
 	}
@@ -115,13 +119,13 @@
 	return !k->draining && f->conf->version > 0 && !sessions_of(k)->ready.away;
 }
 
-void sessions_leave_start(struct sessions *all)
+void sessions_start_tick(struct sessions *all)
 {
-	all->heard_us = now_us();
+	all->last_contact_us = now_us();
 	all->tick = kernel_every(all->service.kernel, TICK_US, on_tick, all);
 }
 
-bool sessions_left(const struct sessions *all)
+bool sessions_drain_complete(const struct sessions *all)
 {
-	return TAILQ_EMPTY(&all->sessions) && now_us() - all->left_us > LEAVE_IDLE_US;
+	return TAILQ_EMPTY(&all->list) && now_us() - all->drain_started_us > DRAIN_IDLE_US;
 }
--- a/src/session-remote.c
+++ b/src/session-remote.c
@@ -1,40 +1,40 @@
 /**
  * @file session-remote.c
- * A statement's tries: at the group's owner, at the reader of this data centre, or at this VM's own
- * replicas while there is no owner.
+ * Attempts to run a statement: at the owner of the group, at the reader of this data centre, or at
+ * this VM itself from reachable replicas while there is no owner.
  */
 #include "session-state.h"
 
 #include "log.h"
 #include "stat.h"
 
-/** Time on top of a statement's own for its owner's last word to arrive. */
+/** Time after the deadline of a statement for the final response of its owner to arrive. */
 #define ANSWER_GRACE_US (100 * USEC_PER_MSEC)
-/** Pauses between tries while no owner takes the statement. */
-#define PAUSE_MIN_US (5 * USEC_PER_MSEC)
-#define PAUSE_MAX_US (40 * USEC_PER_MSEC)
+/** Pause between attempts while no owner accepts the statement. It doubles up to the maximum. */
+#define RETRY_PAUSE_MIN_US (5 * USEC_PER_MSEC)
+#define RETRY_PAUSE_MAX_US (40 * USEC_PER_MSEC)
 /**
- * Longest that a statement waits for its group to have an owner. A successor is there within 300 ms
- * when the owner's process ended; after that it is not known when, and the caller learns it now.
+ * Longest time that a statement waits for an owner of its group. If only the process of the owner
+ * ended, a successor takes over within 300 ms. After a longer time the end of the outage can't be
+ * predicted, so the caller is refused at once.
  */
 #define OWNER_WAIT_US (600 * USEC_PER_MSEC)
-/** After this without an owner nothing is held any more. */
-#define OWNER_GONE_US (1200 * USEC_PER_MSEC)
-/** When to come back to a group without an owner. */
+/** After this time without an owner, statements are refused without a wait. */
+#define OWNER_ABSENT_US (1200 * USEC_PER_MSEC)
+/** Retry hint for a group without an owner. */
 #define OWNER_RETRY_US (250 * USEC_PER_MSEC)
 /**
- * A VM from which nothing was heard for so long, though an answer is due, is taken as silent by
- * reads that can be served elsewhere. A VM that is five times slower than usual still answers
- * within 100 ms.
+ * A VM that owes a response and has sent nothing for this time counts as silent for reads that can
+ * be served elsewhere. A VM that is five times slower than usual still answers within 100 ms.
  */
-#define SILENT_LOOK_US (160 * USEC_PER_MSEC)
-/** Replicas lack a session's write for about so long; the users' are 8 and 60 ms behind. */
-#define REPLICAS_LACK_US (120 * USEC_PER_MSEC)
-/** Longest wait of an idle transaction when the route says none. */
-#define IDLE_TX_MS 30000
+#define SILENCE_LIMIT_US (160 * USEC_PER_MSEC)
+/** Time after which replicas are expected to have a write. The users' replicas lag 8 and 60 ms. */
+#define REPLICA_LAG_US (120 * USEC_PER_MSEC)
+/** Limit of the idle time of a transaction whose route has none. */
+#define DEFAULT_IDLE_TX_MS 30000
 
-/** The owner's last word on the statement. */
-static void answer_remote(struct session *s, const ml_run_res *res)
+/** Ends the statement with the final response of the owner or reader. */
+static void finish_remote(struct session *s, const ml_run_res *res)
 {
 	enum outcome o = (enum outcome)res->outcome;
 	struct session_answer a = {.outcome = o,
@@ -46,7 +46,7 @@
 	struct pos pos = {res->pos.term, res->pos.lsn};
 
 	if (pos.term != 0)
-		s->last = pos;
+		s->last_pos = pos;
 	if (s->tx != TX_NONE) {
 		s->tx_id = res->transaction;
 		if (s->st.op == STATEMENT_COMMIT || s->st.op == STATEMENT_ROLLBACK)
@@ -56,16 +56,16 @@
 		if (res->transaction != 0)
 			g_strlcpy(s->tx_address, s->address, sizeof(s->tx_address));
 	}
-	/* Also a read's position: what a session has seen once it must not miss later. */
-	if (o == OUTCOME_DONE && s->tx == TX_NONE && pos_cmp(pos, s->pos) > 0 &&
+	/* Later reads of the session must see this write. */
+	if (o == OUTCOME_DONE && s->tx == TX_NONE && pos_cmp(pos, s->written_pos) > 0 &&
 	    (s->st.write || s->st.op == STATEMENT_WRITE || s->st.op == STATEMENT_COMMIT)) {
-		s->pos = pos;
+		s->written_pos = pos;
 		s->wrote_us = now_us();
 	}
 	session_finish(s, &a);
 }
 
-/** Whether the statement is a read that a replica may serve. */
+/** Returns whether the statement is a read that a replica may serve. */
 static bool replica_may_serve(const struct session *s)
 {
 	bool read = s->st.op == STATEMENT_READ || s->st.op == STATEMENT_EXECUTE;
@@ -76,19 +76,18 @@
 }
 
 /**
- * The VM that reads for this data centre; NULL when the owner is to be asked. A session that has
- * just written finds its write at the primary, before the replicas have it.
+ * Returns the address of the reader VM of this data centre, or NULL to use the owner. A session
+ * that has just written reads at the primary, since the replicas may not have its write yet.
  */
-static const char *near_reader(struct session *s)
+static const char *local_reader(struct session *s)
 {
-	if (s->near_failed || !replica_may_serve(s) ||
-	    (s->route.mode == READ_SESSION && now_us() - s->wrote_us < REPLICAS_LACK_US))
+	if (s->local_reader_failed || !replica_may_serve(s) ||
+	    (s->route.mode == READ_SESSION && now_us() - s->wrote_us < REPLICA_LAG_US))
 		return NULL;
 	return owner_local_reader(owner_of(session_kernel(s)), s->route.pool);
 }
 
-/** Whether this VM itself could serve the statement from replicas in reach. */
-bool session_may_read_here(const struct session *s)
+bool session_can_read_locally(const struct session *s)
 {
 	if (!replica_may_serve(s))
 		return false;
@@ -96,66 +95,70 @@
 			      (int64_t)s->route.max_age_ms * USEC_PER_MSEC);
 }
 
-/** No owner took the statement: try again soon, or tell the caller. */
-static void try_later(struct session *s, enum outcome o)
+/** Handles a statement that no owner accepted: retries after a pause, or refuses it with @a o. */
+static void retry_or_refuse(struct session *s, enum outcome o)
 {
 	int64_t now = now_us();
-	int64_t pause = MIN(PAUSE_MIN_US << MIN(s->tries, 4U), PAUSE_MAX_US);
+	int64_t pause = MIN(RETRY_PAUSE_MIN_US << MIN(s->tries, 4U), RETRY_PAUSE_MAX_US);
 	int64_t limit = MIN(s->deadline_us, s->started_us + OWNER_WAIT_US);
-	int64_t untaken = owner_note_accepted(owner_of(session_kernel(s)), s->route.pool, false);
+	int64_t not_accepted_us =
+		owner_note_accepted(owner_of(session_kernel(s)), s->route.pool, false);
 
 	s->tries++;
 	/*
-	 * Reads need no owner as long as what it last told is new enough for them: a replica in
-	 * reach serves them.
+	 * Reads need no owner while its last mark (a log position known to include all earlier
+	 * acknowledged writes) is recent enough for them: a reachable replica serves them.
 	 */
-	if (s->reader != READER_ANY && session_may_read_here(s)) {
+	if (s->reader != READER_ANY && session_can_read_locally(s)) {
 		s->reader = READER_ANY;
 		session_run_remote(s);
 		return;
 	}
 	s->reader = READER_OWNER;
 	/*
-	 * A successor would be there by now: the group is out of reach. Holding one more statement
-	 * would only use up its caller's time.
+	 * A successor would have taken over by now, so the group can't be reached from here. A
+	 * longer wait would only use up the caller's time.
 	 */
-	if (untaken > OWNER_GONE_US || now + pause >= limit) {
-		session_answer_here(s, o,
-				    untaken > OWNER_GONE_US ? OWNER_GONE_RETRY_US : OWNER_RETRY_US);
+	if (not_accepted_us > OWNER_ABSENT_US || now + pause >= limit) {
+		session_finish_locally(s, o,
+				       not_accepted_us > OWNER_ABSENT_US ? OWNER_ABSENT_RETRY_US
+									 : OWNER_RETRY_US);
 		return;
 	}
 	stat_add(STAT_RETRIES, 1);
 	kernel_arm(s->timer, pause);
 }
 
-/** The near reader could not serve it: the owner is asked, at once. */
-static bool owner_instead(struct session *s, enum rpc_status status, enum outcome o)
+/** Retries at the owner, without a pause, if the local reader could not serve the statement. */
+static bool fall_back_to_owner(struct session *s, enum rpc_status status, enum outcome o)
 {
 	if (s->reader != READER_LOCAL || s->closed || s->tx_id != 0)
 		return false;
 	if (status == RPC_DONE && (o == OUTCOME_DONE || o == OUTCOME_SQL_ERROR))
 		return false;
-	s->near_failed = true;
+	s->local_reader_failed = true;
 	s->reader = READER_OWNER;
 	session_run_remote(s);
 	return true;
 }
 
-static bool tries_again(const struct session *s, enum outcome o)
+/** Returns whether @a o allows another attempt: the statement has not run. */
+static bool may_retry(const struct session *s, enum outcome o)
 {
 	if (s->tx_id != 0)
 		return false;
 	return o == OUTCOME_LEAVING || o == OUTCOME_NOT_SENT || o == OUTCOME_NO_CONNECTION;
 }
 
-static bool runs_harmlessly(const struct session *s)
+/** Returns whether the statement has no lasting effect even if it ran before the call was lost. */
+static bool has_no_lasting_effect(const struct session *s)
 {
 	if (s->tx != TX_NONE)
 		return s->st.op != STATEMENT_COMMIT;
 	return !statement_writes(s->st.op, s->st.write);
 }
 
-static void on_ran(enum rpc_status status, const void *arg_res, void *arg)
+static void on_run_done(enum rpc_status status, const void *arg_res, void *arg)
 {
 	const ml_run_res *res = arg_res;
 	struct session *s = arg;
@@ -171,10 +174,10 @@
 			owner_note_newer_record(owner_of(session_kernel(s)), s->route.pool,
 						res->owner, res->owner_address,
 						res->owner_revision);
-		if (owner_instead(s, status, (enum outcome)res->outcome))
+		if (fall_back_to_owner(s, status, (enum outcome)res->outcome))
 			return;
-		if (!s->closed && tries_again(s, (enum outcome)res->outcome)) {
-			try_later(s, (enum outcome)res->outcome);
+		if (!s->closed && may_retry(s, (enum outcome)res->outcome)) {
+			retry_or_refuse(s, (enum outcome)res->outcome);
 			return;
 		}
 		if (s->reader == READER_OWNER)
@@ -185,11 +188,11 @@
 			session_tx_abandon(s);
 			session_free(s);
 		} else
-			answer_remote(s, res);
+			finish_remote(s, res);
 		return;
 	}
 	fleet_suspect(fleet_of(session_kernel(s)), s->address);
-	if (owner_instead(s, status, o))
+	if (fall_back_to_owner(s, status, o))
 		return;
 	owner_report_unreachable(owner_of(session_kernel(s)), s->route.pool);
 	if (s->closed) {
@@ -200,22 +203,22 @@
 		log_info("owner-call-lost", LOG_STR("request", s->st.request),
 			 LOG_STR("pool", s->route.pool), LOG_STR("address", s->address),
 			 LOG_NUM("sent", status != RPC_NOT_SENT));
-	/* A transaction's owner is gone: before its COMMIT was sent, all of it is rolled back. */
-	if (s->tx_id != 0 && (status == RPC_NOT_SENT || runs_harmlessly(s))) {
+	/* The owner of the transaction is lost: without a COMMIT the transaction is rolled back. */
+	if (s->tx_id != 0 && (status == RPC_NOT_SENT || has_no_lasting_effect(s))) {
 		s->tx_id = 0;
 		if (s->st.op == STATEMENT_COMMIT || s->st.op == STATEMENT_ROLLBACK)
 			session_tx_end(s);
-		session_answer_here(
+		session_finish_locally(
 			s, s->st.op == STATEMENT_ROLLBACK ? OUTCOME_DONE : OUTCOME_TX_LOST, 0);
 		return;
 	}
-	if (status == RPC_NOT_SENT || (s->tx_id == 0 && runs_harmlessly(s))) {
-		try_later(s, o);
+	if (status == RPC_NOT_SENT || (s->tx_id == 0 && has_no_lasting_effect(s))) {
+		retry_or_refuse(s, o);
 		return;
 	}
 	if (s->st.op == STATEMENT_COMMIT)
 		session_tx_end(s);
-	session_answer_here(s, OUTCOME_LOST, 0);
+	session_finish_locally(s, OUTCOME_LOST, 0);
 }
 
 static void fill_args(struct session *s, ml_run_args *a)
@@ -235,9 +238,9 @@
 	a->shape = "";
 	a->mode = s->route.mode;
 	a->max_age_us = (u_int)MIN((uint64_t)s->route.max_age_ms * USEC_PER_MSEC, UINT_MAX);
-	a->session = (ml_pos){s->pos.term, s->pos.lsn};
+	a->session = (ml_pos){s->written_pos.term, s->written_pos.lsn};
 	a->deadline_us = left > 0 ? (u_int)MIN(left, UINT_MAX) : 0;
-	a->idle_tx_ms = s->route.idle_tx_ms > 0 ? s->route.idle_tx_ms : IDLE_TX_MS;
+	a->idle_tx_ms = s->route.idle_tx_ms > 0 ? s->route.idle_tx_ms : DEFAULT_IDLE_TX_MS;
 	a->owner_revision = owner_known_revision(owner_of(session_kernel(s)), s->route.pool);
 	a->transaction = s->tx_id;
 	if (s->tx != TX_NONE && s->tx_id == 0)
@@ -250,12 +253,11 @@
 	}
 }
 
-/** Send the statement to the group's owner. */
 void session_run_remote(struct session *s)
 {
 	struct kernel *k = session_kernel(s);
 	ml_value values[ML_PARAMS_MAX > 64 ? 64 : ML_PARAMS_MAX];
-	const char *near = near_reader(s);
+	const char *reader_address = local_reader(s);
 	const char *address;
 	ml_run_args args;
 	bool known;
@@ -265,14 +267,14 @@
 		g_strlcpy(s->address, s->tx_address, sizeof(s->address));
 	} else if (s->reader == READER_ANY) {
 		g_strlcpy(s->address, k->settings->advertise, sizeof(s->address));
-	} else if (near != NULL) {
+	} else if (reader_address != NULL) {
 		s->reader = READER_LOCAL;
-		g_strlcpy(s->address, near, sizeof(s->address));
+		g_strlcpy(s->address, reader_address, sizeof(s->address));
 	} else {
 		s->reader = READER_OWNER;
 		address = owner_address(owner_of(k), s->route.pool, &known);
 		if (address == NULL) {
-			try_later(s, OUTCOME_NOT_SENT);
+			retry_or_refuse(s, OUTCOME_NOT_SENT);
 			return;
 		}
 		g_strlcpy(s->address, address, sizeof(s->address));
@@ -285,9 +287,9 @@
 	args.reader = (int)s->reader;
 	s->sent_us = now_us();
 	s->call = rpc_start(rpc_of(k), s->address, ML_RUN, &args,
-			    (int64_t)args.deadline_us + ANSWER_GRACE_US, on_ran, s);
-	if (s->reader != READER_ANY && s->call != NULL && session_may_read_here(s))
-		kernel_arm(s->timer, SILENT_LOOK_US);
+			    (int64_t)args.deadline_us + ANSWER_GRACE_US, on_run_done, s);
+	if (s->reader != READER_ANY && s->call != NULL && session_can_read_locally(s))
+		kernel_arm(s->timer, SILENCE_LIMIT_US);
 }
 
 void session_on_timer(evutil_socket_t fd, short what, void *arg)
@@ -299,11 +301,11 @@
 		return;
 	}
 	/*
-	 * The owner's VM says nothing at all: it is cut off, or has lost its power. A read need not
-	 * wait until that is certain; what the owner may still answer is dropped.
+	 * The VM that runs the statement is silent: it is isolated or has lost power. A read does
+	 * not wait until that is certain; a late response is dropped.
 	 */
-	if (rpc_silent_us(rpc_of(session_kernel(s)), s->address) < SILENT_LOOK_US) {
-		kernel_arm(s->timer, SILENT_LOOK_US);
+	if (rpc_silent_us(rpc_of(session_kernel(s)), s->address) < SILENCE_LIMIT_US) {
+		kernel_arm(s->timer, SILENCE_LIMIT_US);
 		return;
 	}
 	log_info("owner-call-silent", LOG_STR("request", s->st.request),
@@ -312,21 +314,23 @@
 	s->call = NULL;
 	if (s->reader == READER_OWNER)
 		owner_report_unreachable(owner_of(session_kernel(s)), s->route.pool);
-	try_later(s, OUTCOME_NOT_SENT);
+	retry_or_refuse(s, OUTCOME_NOT_SENT);
 }
 
 /**
- * An operation would wait for a token, and no owner takes statements: it would be refused after
- * its wait. A VM that is cut off has little of the rate too, and made its callers wait 0.3 s for
- * each refusal. Operations that need not wait go on, and find the owner when it is back.
+ * Returns whether an operation that has to wait for a rate token would be refused after the wait,
+ * since no owner accepts statements. An isolated VM also has only a small part of the rate; without
+ * this check its callers waited 0.3 s for each refusal. Operations that need not wait go on, and
+ * detect an owner that is back.
  */
-bool session_waits_in_vain(struct session *s)
+bool session_wait_would_fail(struct session *s)
 {
-	int64_t untaken = owner_not_accepting_us(owner_of(session_kernel(s)), s->route.pool);
+	int64_t not_accepted_us =
+		owner_not_accepting_us(owner_of(session_kernel(s)), s->route.pool);
 
-	if (untaken < OWNER_GONE_US || session_may_read_here(s))
+	if (not_accepted_us < OWNER_ABSENT_US || session_can_read_locally(s))
 		return false;
 	log_info("owner-gone", LOG_STR("request", s->st.request), LOG_STR("pool", s->route.pool),
-		 LOG_NUM("untaken_ms", untaken / USEC_PER_MSEC));
+		 LOG_NUM("untaken_ms", not_accepted_us / USEC_PER_MSEC));
 	return true;
 }
--- a/src/session-state.h
+++ b/src/session-state.h
@@ -1,7 +1,8 @@
 /**
  * @file session-state.h
- * A session's state, which session.c (its statements' steps), session-remote.c (tries at the
- * group's owner and readers) and session-leave.c (sessions that should go on elsewhere) share.
+ * State of a session, shared by session.c (processing of statements), session-remote.c (attempts at
+ * the owner of the group and at readers) and session-leave.c (closing of sessions that are better
+ * served by another VM).
  */
 #ifndef SESSION_STATE_H
 #define SESSION_STATE_H
@@ -14,10 +15,10 @@
 #include "shares.h"
 
 /**
- * When to come back to a group that has had no owner for over a second: networks that are cut stay
- * so for seconds, and a caller that comes back each 250 ms has used up its tries before.
+ * Retry hint for a group that has been without an owner for over a second. Network partitions last
+ * for seconds; a caller that retries every 250 ms would use up its retries before the end.
  */
-#define OWNER_GONE_RETRY_US (1 * USEC_PER_SEC)
+#define OWNER_ABSENT_RETRY_US (1 * USEC_PER_SEC)
 
 struct prepared {
 	bool write;
@@ -27,36 +28,36 @@
 struct session {
 	struct admission admission;
 	TAILQ_ENTRY(session) link;
-	struct sessions *owner;
+	struct sessions *sessions;
 	const struct session_ops *ops;
 	void *arg;
 	char database[NAME_SIZE];
 	char key_id[NAME_SIZE];
 	char team[NAME_SIZE];
-	uint64_t checked_version; /**< of the configuration that the key was checked against */
-	struct conf_route route;  /**< as of the present operation's begin */
-	GPtrArray *values;	  /**< of ml_value, in the order in which they were first set */
+	uint64_t checked_version; /**< configuration that the key was checked against */
+	struct conf_route route;  /**< as of the start of the current operation */
+	GPtrArray *values;	  /**< ml_value, in the order of their first SET */
 	GHashTable *prepared;
 
 	enum tx_state tx;
 	bool tx_read_only;
-	uint64_t tx_id; /**< 0 while its first statement was not sent */
+	uint64_t tx_id; /**< 0 until its first statement was sent */
 	char tx_address[ADDRESS_SIZE];
-	struct pos pos;	 /**< of the newest own write */
-	struct pos last; /**< as the last answer told */
+	struct pos written_pos; /**< of the newest write of the session */
+	struct pos last_pos;	/**< reported by the last answer */
 
 	bool busy;
-	bool closed; /**< the caller is gone; freed when the statement has ended */
+	bool closed; /**< the caller has disconnected; freed when its statement has ended */
 	struct statement st;
-	bool begins; /**< the statement is the first of an operation */
+	bool starts_operation; /**< not inside a transaction that is already open */
 	int64_t started_us;
 	int64_t deadline_us;
-	unsigned tries;
+	unsigned tries; /**< attempts that have failed */
 	char address[ADDRESS_SIZE];
 	int64_t sent_us;
-	enum owner_reader reader; /**< who serves this try */
-	bool near_failed;	  /**< the reader of this data centre could not serve it */
-	int64_t wrote_us;	  /**< when a write of the session was last acknowledged */
+	enum owner_reader reader; /**< which VMs may serve this attempt */
+	bool local_reader_failed; /**< the reader of this data centre could not serve it */
+	int64_t wrote_us;	  /**< time of the last acknowledged write */
 	struct rpc_call *call;
 	struct event *timer;
 };
@@ -64,11 +65,11 @@
 
 struct sessions {
 	struct service service;
-	struct session_list sessions;
+	struct session_list list;
 	struct event *tick;
-	int64_t left_us;
-	int64_t heard_us;	       /**< when a VM of another data centre was last heard */
-	char heard_from[ADDRESS_SIZE]; /**< VM of another data centre that was heard then */
+	int64_t drain_started_us;
+	int64_t last_contact_us; /**< last message from a VM of another data centre */
+	char last_contact_address[ADDRESS_SIZE]; /**< address of that VM */
 	struct ready ready;
 };
 
@@ -76,33 +77,34 @@
 
 struct sessions *sessions_of(struct kernel *k);
 struct kernel *session_kernel(const struct session *s);
-/** The statement has ended. */
+/** Ends the statement with answer @a a. */
 void session_finish(struct session *s, struct session_answer *a);
-/** It ends here, before any member had it. */
-void session_answer_here(struct session *s, enum outcome o, int64_t retry_after_us);
+/** Ends the statement with @a o, which is not the answer of a member. */
+void session_finish_locally(struct session *s, enum outcome o, int64_t retry_after_us);
 void session_tx_end(struct session *s);
-/** Roll back at the owner what nobody will end any more. */
+/** Rolls back the transaction at the owner, since its caller can no longer end it. */
 void session_tx_abandon(struct session *s);
 void session_free(struct session *s);
 
 /* session-leave.c */
 
-/** Whether the session is to end with its next answer outside of a transaction. */
-bool session_leaving(const struct session *s);
-/** Count a statement's end as served or not. */
-void session_note(struct session *s, enum outcome o);
-void sessions_leave_start(struct sessions *all);
-/** Whether nothing keeps this VM, which leaves, from ending. */
-bool sessions_left(const struct sessions *all);
+/** Returns whether the session is to be closed with its next answer outside of a transaction. */
+bool session_must_close(const struct session *s);
+/** Counts a statement as served or not served, to decide whether this VM accepts callers. */
+void session_count_outcome(struct session *s, enum outcome o);
+/** Starts the timer that closes sessions. */
+void sessions_start_tick(struct sessions *all);
+/** Returns whether the sessions allow this VM to complete its shutdown. */
+bool sessions_drain_complete(const struct sessions *all);
 
 /* session-remote.c */
 
-/** Send the statement to the group's owner, or to a reader. */
+/** Sends the statement to the owner of the group or to a reader. */
 void session_run_remote(struct session *s);
-/** Whether this VM itself could serve the statement from replicas in reach. */
-bool session_may_read_here(const struct session *s);
-/** Whether a wait for a token of the rate would end with a refusal for want of an owner. */
-bool session_waits_in_vain(struct session *s);
-/** For the session's timer: the next try, or a look at one that is out. */
+/** Returns whether this VM could serve the statement itself from reachable replicas. */
+bool session_can_read_locally(const struct session *s);
+/** Returns whether a wait for a rate token would end in a refusal, since there is no owner. */
+bool session_wait_would_fail(struct session *s);
+/** Callback of the timer: starts the next attempt, or checks the one in flight. */
 void session_on_timer(evutil_socket_t fd, short what, void *arg);
 #endif
--- a/src/session.c
+++ b/src/session.c
@@ -1,4 +1,4 @@
-/** @file session.c Callers' sessions for groups that one VM owns. */
+/** @file session.c Sessions of callers of groups that are run by an owner. */
 #include "session-state.h"
 
 #include "key.h"
@@ -7,8 +7,8 @@
 
 #include <string.h>
 
-/** Limit of a statement whose route gives none. */
-#define DEADLINE_US (5 * USEC_PER_SEC)
+/** Deadline of a statement whose route has none. */
+#define DEFAULT_DEADLINE_US (5 * USEC_PER_SEC)
 
 struct sessions *sessions_of(struct kernel *k)
 {
@@ -17,7 +17,7 @@
 
 struct kernel *session_kernel(const struct session *s)
 {
-	return s->owner->service.kernel;
+	return s->sessions->service.kernel;
 }
 
 static const struct conf *conf_of(const struct session *s)
@@ -25,7 +25,7 @@
 	return fleet_of(session_kernel(s))->conf;
 }
 
-/* Values and names */
+/* Values and prepared statements */
 
 static void value_free(gpointer data)
 {
@@ -72,9 +72,12 @@
 	g_hash_table_replace(s->prepared, g_strdup(s->st.name), p);
 }
 
-/* Who may */
+/* Access */
 
-/** The team of the key; "" for an anonymous caller. @return false when the key is not known. */
+/**
+ * Sets the team of the session from its key; "" for an anonymous caller.
+ * @return false if there is no valid key and the route does not allow anonymous callers
+ */
 static bool find_team(struct session *s, const struct conf_route *route)
 {
 	const struct conf_key *key = s->key_id[0] != '\0' ? conf_key(conf_of(s), s->key_id) : NULL;
@@ -87,18 +90,18 @@
 }
 
 /**
- * Whether the session may go on under the configuration in force. The key and the route are looked
- * up again after each change, so that a key that was withdrawn stops working on open sessions too.
+ * Checks whether the current configuration allows the session. The key and the route are looked up
+ * again after each change, so that a withdrawn key stops working on open sessions too.
  */
-static enum outcome check(struct session *s)
+static enum outcome check_access(struct session *s)
 {
 	const struct conf *conf = conf_of(s);
 	const struct conf_route *route;
 
 	/*
-	 * A VM that has just started knows no route yet, some 20 ms long and for as long as it
-	 * reaches neither the store nor a peer. Its callers were told for good that their database
-	 * does not exist, as if the configuration had gone back.
+	 * A VM that has just started has no configuration for about 20 ms, or for as long as it
+	 * reaches neither the store nor a peer. Without this check its callers got the permanent
+	 * error that their database does not exist, as if the configuration had been reverted.
 	 */
 	if (conf->version == 0)
 		return OUTCOME_LEAVING;
@@ -110,13 +113,13 @@
 	if (!find_team(s, route))
 		return OUTCOME_NO_KEY;
 	s->checked_version = conf->version;
-	/* A change of the route holds from the next transaction on. */
+	/* A change of the route applies from the next transaction on. */
 	if (s->tx == TX_NONE)
 		s->route = *route;
 	return OUTCOME_DONE;
 }
 
-/* The end of a statement */
+/* Completion of a statement */
 
 void session_free(struct session *s)
 {
@@ -126,7 +129,7 @@
 	g_free(s);
 }
 
-static enum stat_time_id time_of(const struct session *s, enum outcome o)
+static enum stat_time_id time_metric_of(const struct session *s, enum outcome o)
 {
 	static const enum stat_time_id by_mode[] = {
 		[READ_DECLARED] = STAT_TIME_PRIMARY,
@@ -139,9 +142,9 @@
 }
 
 /**
- * A token is spent by what has run, or may have. A transaction spends its own when it begins: what
- * is lent takes room in the bucket, and callers that rest after BEGIN would leave none for their
- * team.
+ * Spends the rate token of an operation that has run or may have run, else returns it. A
+ * transaction spends its token at BEGIN: a token that is checked out takes room in the bucket, and
+ * callers that are idle after BEGIN would leave no tokens for their team.
  */
 static void settle_token(struct session *s, enum outcome o)
 {
@@ -158,8 +161,8 @@
 		return;
 	}
 	a->state = s->tx;
-	a->pos = s->last;
-	if (s->tx == TX_NONE && session_leaving(s))
+	a->pos = s->last_pos;
+	if (s->tx == TX_NONE && session_must_close(s))
 		a->close = true;
 	if (a->outcome != OUTCOME_DONE)
 		log_info("answer", LOG_STR("request", s->st.request), LOG_STR("team", s->team),
@@ -170,13 +173,13 @@
 			 LOG_NUM("conf", conf_of(s)->version),
 			 LOG_NUM("retry_after_us", a->retry_after_us));
 	stat_outcome(a->outcome);
-	session_note(s, a->outcome);
-	stat_time(time_of(s, a->outcome), now_us() - s->started_us);
+	session_count_outcome(s, a->outcome);
+	stat_time(time_metric_of(s, a->outcome), now_us() - s->started_us);
 	s->ops->answer(s, a, s->arg);
 }
 
-/** Answer here. @a o leaves an open transaction failed unless it is DONE. */
-void session_answer_here(struct session *s, enum outcome o, int64_t retry_after_us)
+/** Ends the statement with @a o. An open transaction fails unless @a o is OUTCOME_DONE. */
+void session_finish_locally(struct session *s, enum outcome o, int64_t retry_after_us)
 {
 	struct session_answer a = {.outcome = o, .retry_after_us = retry_after_us};
 
@@ -193,7 +196,6 @@
 	s->tx_id = 0;
 }
 
-/** Roll back at the owner what nobody will end any more. */
 void session_tx_abandon(struct session *s)
 {
 	ml_run_args args = {.request = "-",
@@ -212,16 +214,17 @@
 	session_tx_end(s);
 }
 
-/* The steps of a statement */
+/* Processing of a statement */
 
 static void after_admission(struct session *s)
 {
 	if (s->st.op == STATEMENT_BEGIN || s->st.op == STATEMENT_BEGIN_READ) {
-		/* Sent with the first statement: a round trip less, and no connection held idle. */
+		/* BEGIN is sent with the first statement: saves a round trip and an idle
+		 * connection. */
 		s->tx = TX_OPEN;
 		s->tx_id = 0;
 		s->tx_read_only = s->st.op == STATEMENT_BEGIN_READ;
-		session_answer_here(s, OUTCOME_DONE, 0);
+		session_finish_locally(s, OUTCOME_DONE, 0);
 		return;
 	}
 	session_run_remote(s);
@@ -237,10 +240,10 @@
 	}
 	stat_add(STAT_OVER_RATE, 1);
 	shares_log_refusal(shares_of(session_kernel(s)), s->team, s->st.request);
-	session_answer_here(s, OUTCOME_OVER_RATE, retry_after_us);
+	session_finish_locally(s, OUTCOME_OVER_RATE, retry_after_us);
 }
 
-/** An operation takes one token of its team's rate. */
+/** Takes one token of the team's rate for a transaction or a single statement. */
 static void admit(struct session *s)
 {
 	int64_t retry_us = 0;
@@ -254,14 +257,14 @@
 		after_admission(s);
 	else if (verdict < 0)
 		on_admitted(&s->admission, false, retry_us);
-	else if (session_waits_in_vain(s)) {
+	else if (session_wait_would_fail(s)) {
 		shares_cancel(&s->admission);
-		session_answer_here(s, OUTCOME_LEAVING, OWNER_GONE_RETRY_US);
+		session_finish_locally(s, OUTCOME_LEAVING, OWNER_ABSENT_RETRY_US);
 	}
 }
 
-/** Statements that need no member; OUTCOMES for one that does. */
-static enum outcome run_here(struct session *s)
+/** Executes a statement that needs no member. @return OUTCOMES if the statement needs one */
+static enum outcome run_locally(struct session *s)
 {
 	const struct statement *st = &s->st;
 	const struct prepared *p;
@@ -301,7 +304,7 @@
 	}
 }
 
-/** A statement in a transaction that has failed: only its end is taken. */
+/** Handles a statement in a failed transaction: accepts only COMMIT and ROLLBACK. */
 static void run_failed(struct session *s)
 {
 	enum statement_op op = s->st.op;
@@ -313,7 +316,7 @@
 		return;
 	}
 	session_tx_abandon(s);
-	session_answer_here(s, op == STATEMENT_ROLLBACK ? OUTCOME_DONE : OUTCOME_TX_LOST, 0);
+	session_finish_locally(s, op == STATEMENT_ROLLBACK ? OUTCOME_DONE : OUTCOME_TX_LOST, 0);
 }
 
 void session_run(struct session *s, const struct statement *st)
@@ -322,31 +325,31 @@
 
 	s->busy = true;
 	s->reader = READER_OWNER;
-	s->near_failed = false;
+	s->local_reader_failed = false;
 	s->st = *st;
 	s->tries = 0;
 	s->address[0] = '\0';
 	s->started_us = now_us();
-	s->begins = s->tx == TX_NONE;
+	s->starts_operation = s->tx == TX_NONE;
 	stat_add(STAT_REQUESTS, 1);
-	o = check(s);
+	o = check_access(s);
 	if (o != OUTCOME_DONE) {
 		if (s->tx != TX_NONE)
 			session_tx_abandon(s);
-		session_answer_here(s, o, 0);
+		session_finish_locally(s, o, 0);
 		return;
 	}
 	s->deadline_us = s->started_us + (s->route.deadline_ms > 0
 						  ? (int64_t)s->route.deadline_ms * USEC_PER_MSEC
-						  : DEADLINE_US);
+						  : DEFAULT_DEADLINE_US);
 	if (s->tx == TX_FAILED) {
 		run_failed(s);
 		return;
 	}
-	o = run_here(s);
+	o = run_locally(s);
 	if (o != OUTCOMES)
-		session_answer_here(s, o, 0);
-	else if (s->begins)
+		session_finish_locally(s, o, 0);
+	else if (s->starts_operation)
 		admit(s);
 	else
 		session_run_remote(s);
@@ -363,20 +366,20 @@
 			     const struct session_ops *ops, void *arg, enum outcome *why)
 {
 	struct session *s = g_new0(struct session, 1);
-	struct conf_key shown;
+	struct conf_key parsed_key;
 
-	s->owner = sessions_of(k);
+	s->sessions = sessions_of(k);
 	s->ops = ops;
 	s->arg = arg;
 	g_strlcpy(s->database, database, sizeof(s->database));
 	if (key[0] != '\0') {
-		key_from_text(key, "", &shown);
-		g_strlcpy(s->key_id, shown.id, sizeof(s->key_id));
+		key_from_text(key, "", &parsed_key);
+		g_strlcpy(s->key_id, parsed_key.id, sizeof(s->key_id));
 	}
 	s->values = g_ptr_array_new_with_free_func(value_free);
 	s->prepared = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, prepared_free);
 	s->timer = event_new(k->base, -1, 0, session_on_timer, s);
-	*why = strlen(database) < NAME_SIZE ? check(s) : OUTCOME_NO_ROUTE;
+	*why = strlen(database) < NAME_SIZE ? check_access(s) : OUTCOME_NO_ROUTE;
 	if (*why != OUTCOME_DONE) {
 		log_info("session-refused", LOG_STR("kind", s->database),
 			 LOG_STR("outcome", outcome_text(*why)->name),
@@ -385,13 +388,13 @@
 		session_free(s);
 		return NULL;
 	}
-	TAILQ_INSERT_TAIL(&s->owner->sessions, s, link);
+	TAILQ_INSERT_TAIL(&s->sessions->list, s, link);
 	return s;
 }
 
 void session_close(struct session *s)
 {
-	TAILQ_REMOVE(&s->owner->sessions, s, link);
+	TAILQ_REMOVE(&s->sessions->list, s, link);
 	s->closed = true;
 	shares_cancel(&s->admission);
 	shares_settle(shares_of(session_kernel(s)), s->team, &s->admission, true);
@@ -404,7 +407,7 @@
 
 static gboolean sessions_start(struct service *service, GError **error)
 {
-	sessions_leave_start((struct sessions *)service);
+	sessions_start_tick((struct sessions *)service);
 	return TRUE;
 }
 
@@ -412,12 +415,12 @@
 {
 	struct sessions *all = (struct sessions *)service;
 
-	all->left_us = now_us();
+	all->drain_started_us = now_us();
 }
 
 static bool sessions_drained(struct service *service)
 {
-	return sessions_left((struct sessions *)service);
+	return sessions_drain_complete((struct sessions *)service);
 }
 
 static void sessions_stop(struct service *service)
@@ -442,7 +445,7 @@
 	struct sessions *all = g_new0(struct sessions, 1);
 
 	all->service.ops = &sessions_ops;
-	TAILQ_INIT(&all->sessions);
+	TAILQ_INIT(&all->list);
 	kernel_add(k, &all->service);
 	return &all->service;
 }
--- a/src/session.h
+++ b/src/session.h
@@ -1,8 +1,12 @@
 /**
  * @file session.h
- * A caller's session on the VM that it is connected to, for groups that one VM owns: who the caller
- * is, its values and prepared statements, its transaction, its newest write, and the way of each
- * statement to the owner of its group. It knows nothing of the caller's protocol.
+ * A caller's session on the VM that it is connected to (the entry), for groups that are run by an
+ * owner: identity of the caller, its values and prepared statements, its transaction, the log
+ * position of its newest write, and the forwarding of each statement to the owner of its group.
+ * Independent of the protocol of the caller.
+ *
+ * The owner of a database group is the VM that holds the connections to its members and manages its
+ * primary. A pool is a database group as configured.
  */
 #ifndef SESSION_H
 #define SESSION_H
@@ -13,7 +17,7 @@
 
 struct session;
 
-/** The answer to one statement. Lives until the function that is handed it returns. */
+/** Answer to one statement. Valid until session_ops.answer returns. */
 struct session_answer {
 	enum outcome outcome;
 	const char *message;
@@ -21,31 +25,30 @@
 	const char *rows; /**< each row ends with a line feed */
 	size_t rows_len;
 	enum tx_state state;
-	struct pos pos;
-	int64_t retry_after_us; /**< when to come back, for a statement that has not run; 0: at once
-				 */
+	struct pos pos;		/**< log position of the last answer of a member */
+	int64_t retry_after_us; /**< for a statement that has not run: when to retry; 0: at once */
 	bool close;		/**< the session ends with this answer */
 };
 
 struct session_ops {
 	void (*answer)(struct session *s, const struct session_answer *a, void *arg);
-	/** The session has nothing open and must end: this VM leaves, or its key is gone. */
+	/** The session must end: this VM shuts down, or its callers are better served elsewhere. */
 	void (*close)(struct session *s, void *arg);
 };
 
 struct service *session_service_create(struct kernel *k);
-/** Whether new sessions are taken. */
+/** Returns whether new sessions are accepted. */
 bool session_accepting(struct kernel *k);
 /**
- * Open a session of the caller that showed @a key, on @a database.
- * @return NULL with the reason in @a why
+ * Opens a session on @a database for a caller that authenticates with @a key; "" is anonymous.
+ * @return NULL on error, with the reason in @a why
  */
 struct session *session_open(struct kernel *k, const char *database, const char *key,
 			     const struct session_ops *ops, void *arg, enum outcome *why);
-/** Run a statement; the answer comes by ops->answer, maybe before this returns. */
+/** Runs a statement. Calls ops->answer, possibly before this function returns. */
 void session_run(struct session *s, const struct statement *st);
 bool session_busy(const struct session *s);
-/** The caller is gone. No function of its ops is called any more. */
+/** Closes the session after its caller has disconnected. Its ops are not called any more. */
 void session_close(struct session *s);
 
 #endif
--- a/tests/standin-db-log.c
+++ b/tests/standin-db-log.c
@@ -311,7 +311,7 @@
 	struct pg_message m;
 
 	up_heard_us = now_us();
-	while (server.up == bev && pg_take(in, false, 64 << 20, &m) == PG_MESSAGE) {
+	while (server.up == bev && pg_message_read(in, false, 64 << 20, &m) == PG_MESSAGE) {
 		struct pg_reader r = pg_reader(&m);
 		const char *head;
 		unsigned long from;
--- a/tests/standin-db.c
+++ b/tests/standin-db.c
@@ -379,7 +379,7 @@
 	int pid = c->pid;
 
 	while (!c->busy && !c->closing && !(c->counted && !c->started)) {
-		if (pg_take(in, !c->started, 64 << 20, &m) != PG_MESSAGE)
+		if (pg_message_read(in, !c->started, 64 << 20, &m) != PG_MESSAGE)
 			return;
 		client_take(c, &m);
 		pg_message_clear(&m);
