--- a/decide/confirm.c
+++ b/decide/confirm.c
@@ -1,7 +1,7 @@
-/** @file confirm.c Acknowledgement of commits. */
+/** @file confirm.c Decides when a commit may be acknowledged. */
 #include "confirm.h"
 
-unsigned confirm_needed(unsigned members)
+unsigned confirm_replicas_needed(unsigned members)
 {
 	return members / 2;
 }
@@ -9,10 +9,11 @@
 enum confirm_verdict confirm_replica(struct pos commit, const struct member_report *r)
 {
 	/*
-	 * A paused home may wake after a promotion with the commit's answer in its socket;
-	 * acknowledging then loses an order. Each replica of the promotion's majority has pledged
-	 * to a higher term before the new primary was chosen, so a replica seen at the commit's own
-	 * term with the record makes every later choice include it.
+	 * A home (the daemon that holds a member's connections) may be paused across a promotion
+	 * and resume with the old primary's answer to the commit in its socket; acknowledging it
+	 * would lose a write. Each replica of the promotion's majority moves to a higher term
+	 * before the new primary is chosen. A replica that is still in the commit's term and has
+	 * the record therefore guarantees that every later promotion keeps it.
 	 */
 	if (r->seen_term != commit.term)
 		return CONFIRM_WAIT;
@@ -23,13 +24,13 @@
 
 enum confirm_verdict confirm_by_primary(struct pos commit, const struct group_view *g)
 {
-	int leader = group_settled(g);
+	int primary = group_settled_primary(g);
 	const struct member_report *r;
 
-	if (leader < 0)
+	if (primary < 0)
 		return CONFIRM_WAIT;
-	r = &g->member[leader].report;
+	r = &g->member[primary].report;
 	if (r->seen_term <= commit.term)
 		return CONFIRM_WAIT;
-	return token_fate(commit, &r->terms) == TOKEN_KEPT ? CONFIRM_YES : CONFIRM_LOST;
+	return token_status(commit, &r->terms) == TOKEN_KEPT ? CONFIRM_YES : CONFIRM_LOST;
 }
--- a/decide/era.c
+++ b/decide/era.c
@@ -1,4 +1,4 @@
-/** @file era.c When leases of a former era of the store have surely ended. */
+/** @file era.c Decides when all leases of earlier eras of the store have ended. */
 #include "era.h"
 
 bool era_observe(struct era *e, uint64_t era, int64_t now_us)
@@ -13,7 +13,7 @@
 	return restored;
 }
 
-void era_unsettle(struct era *e, int64_t now_us)
+void era_mark_unsettled(struct era *e, int64_t now_us)
 {
 	if (e->since_us == 0)
 		e->since_us = now_us;
--- a/decide/failover.c
+++ b/decide/failover.c
@@ -1,19 +1,19 @@
-/** @file failover.c The promoter's state machine. */
+/** @file failover.c State machine of a promoter. */
 #include "failover.h"
 
 #include <string.h>
 
-/** Head start of each better-placed promoter. */
-#define FAILOVER_RANK_US (300 * USEC_PER_MSEC)
-/** Longest random pause before a further try, so that two promoters do not duel for long. */
-#define FAILOVER_JITTER_US (200 * USEC_PER_MSEC)
+/** Additional delay before the first attempt, per rank of the promoter. */
+#define FAILOVER_RANK_DELAY_US (300 * USEC_PER_MSEC)
+/** Maximum random delay before the next attempt, so that two promoters stop fencing each other. */
+#define FAILOVER_JITTER_MAX_US (200 * USEC_PER_MSEC)
 
-/** Time for the news of a change to come back as reports, before another one may begin. */
-#define FAILOVER_SETTLE_US (500 * USEC_PER_MSEC)
+/** Minimum time from a promotion to the next failover, until reports show the promotion. */
+#define FAILOVER_SETTLE_DELAY_US (500 * USEC_PER_MSEC)
 
-static const struct failover_order nothing = {.act = FAILOVER_NOTHING, .member = -1};
+static const struct failover_order no_order = {.act = FAILOVER_NOTHING, .member = -1};
 
-static bool group_led(const struct group_view *g)
+static bool group_has_live_primary(const struct group_view *g)
 {
 	int primary = group_primary(g);
 
@@ -22,19 +22,19 @@
 	return g->member[primary].report.seen_term >= group_highest_term(g);
 }
 
-/** Since when the group has been without a primary; INT64_MAX while nothing is known of it. */
-static int64_t leaderless_since(const struct group_view *g, int64_t now_us)
+/** @return since when the group has had no primary; INT64_MAX while no member has reported */
+static int64_t primary_missing_since(const struct group_view *g, int64_t now_us)
 {
 	int primary = group_primary(g);
 
 	/*
-	 * Just started: until a first report from each reachable member, silence is ignorance and
-	 * not a failure.
+	 * This process has just started and has no report yet, which does not mean that the primary
+	 * has failed.
 	 */
 	if (group_highest_term(g) == 0)
 		return INT64_MAX;
 	if (primary < 0 || g->member[primary].state == MEMBER_UP)
-		return now_us - FAILOVER_PATIENCE_US;
+		return now_us - FAILOVER_DOWN_TIMEOUT_US;
 	return g->member[primary].down_since_us;
 }
 
@@ -68,25 +68,25 @@
 	int64_t since, start;
 
 	if (f->phase != FAILOVER_IDLE) {
-		if (now_us - f->since_us > FAILOVER_PHASE_US)
-			failover_reset(f, now_us + (int64_t)(random % FAILOVER_JITTER_US));
-		return nothing;
+		if (now_us - f->since_us > FAILOVER_PHASE_TIMEOUT_US)
+			failover_reset(f, now_us + (int64_t)(random % FAILOVER_JITTER_MAX_US));
+		return no_order;
 	}
-	if (group_led(g)) {
+	if (group_has_live_primary(g)) {
 		f->tries = 0;
 		f->not_before_us = 0;
-		return nothing;
+		return no_order;
 	}
-	since = leaderless_since(g, now_us);
+	since = primary_missing_since(g, now_us);
 	if (since == INT64_MAX)
-		return nothing;
-	start = since + FAILOVER_PATIENCE_US + (int64_t)rank * FAILOVER_RANK_US;
+		return no_order;
+	start = since + FAILOVER_DOWN_TIMEOUT_US + (int64_t)rank * FAILOVER_RANK_DELAY_US;
 	if (now_us < start || now_us < f->not_before_us)
-		return nothing;
+		return no_order;
 	return failover_begin(f, g, now_us);
 }
 
-static int failover_best(const struct failover *f, const struct group_view *g)
+static int failover_newest_log(const struct failover *f, const struct group_view *g)
 {
 	int best = -1;
 	unsigned i;
@@ -106,26 +106,27 @@
 {
 	unsigned majority = g->n / 2 + 1;
 
-	/* An answer to an earlier try names an earlier term and says nothing of this one. */
+	/* Ignore answers to an earlier attempt, which carry its term, and repeated pledges. */
 	if (f->phase != FAILOVER_FENCING || term != f->term || f->grant[member])
-		return nothing;
+		return no_order;
 	if (!pledged) {
 		f->refused++;
 		if (f->refused > g->n - majority)
-			failover_reset(f, now_us + FAILOVER_JITTER_US);
-		return nothing;
+			failover_reset(f, now_us + FAILOVER_JITTER_MAX_US);
+		return no_order;
 	}
 	f->grant[member] = true;
 	f->received[member] = received;
 	f->granted++;
 	if (f->granted < majority)
-		return nothing;
+		return no_order;
 	/*
-	 * An acknowledged write is on a majority at its term, and this majority meets it in one
-	 * member at least, which pledged only after it had the record. The highest log of this
-	 * majority therefore has every such write.
+	 * An acknowledged write was stored by a majority of members while they were in its term.
+	 * That majority and the one that pledged now share at least one member, which had the
+	 * record before it pledged. The newest log among the pledged members therefore contains
+	 * every acknowledged write.
 	 */
-	f->chosen = failover_best(f, g);
+	f->chosen = failover_newest_log(f, g);
 	f->phase = FAILOVER_PROMOTING;
 	f->since_us = now_us;
 	return (struct failover_order){.act = FAILOVER_PROMOTE, .term = term, .member = f->chosen};
@@ -134,13 +135,13 @@
 struct failover_order failover_promoted(struct failover *f, uint64_t term, bool ok, int64_t now_us)
 {
 	if (f->phase != FAILOVER_PROMOTING || term != f->term)
-		return nothing;
+		return no_order;
 	/*
-	 * Until the new primary's first report is here, the group still looks leaderless, and the
-	 * promoter would depose the primary that it has just made.
+	 * Until the first report of the new primary arrives, the group seems to have no primary; a
+	 * failover begun now would fence the primary that has just been promoted.
 	 */
-	failover_reset(f, now_us + (ok ? FAILOVER_SETTLE_US : FAILOVER_JITTER_US));
+	failover_reset(f, now_us + (ok ? FAILOVER_SETTLE_DELAY_US : FAILOVER_JITTER_MAX_US));
 	if (!ok)
-		return nothing;
+		return no_order;
 	return (struct failover_order){.act = FAILOVER_ATTACH, .term = term, .member = f->chosen};
 }
--- a/decide/failover.h
+++ b/decide/failover.h
@@ -1,8 +1,8 @@
 /**
  * @file failover.h
- * The change of primary: one promoter's state machine. It takes reports and answers, and gives the
- * orders to send next. Terms live in the databases, so neither the platform nor a clock is needed
- * for safety.
+ * State machine of a promoter, a VM that carries out a failover. Its inputs are member reports and
+ * answers to orders; its outputs are the orders to send next. Terms are stored in the databases, so
+ * safety depends neither on the platform nor on clocks.
  */
 #ifndef DECIDE_FAILOVER_H
 #define DECIDE_FAILOVER_H
@@ -11,16 +11,15 @@
 
 enum failover_phase {
 	FAILOVER_IDLE,
-	FAILOVER_FENCING,   /**< follow(term, none) is out to every member */
-	FAILOVER_PROMOTING, /**< promote(term) is out to one member */
+	FAILOVER_FENCING,   /**< sent follow(term, none) to every member */
+	FAILOVER_PROMOTING, /**< sent promote(term) to the chosen member */
 };
 
 enum failover_act {
 	FAILOVER_NOTHING,
-	FAILOVER_FENCE,	  /**< order follow(term, none) on every member */
-	FAILOVER_PROMOTE, /**< order promote(term) on @a member */
-	FAILOVER_ATTACH,  /**< order follow(term, member) on every other member: the change is done
-			   */
+	FAILOVER_FENCE,	  /**< send follow(term, none) to every member */
+	FAILOVER_PROMOTE, /**< send promote(term) to @a member */
+	FAILOVER_ATTACH,  /**< failover done: send follow(term, member) to every other member */
 };
 
 struct failover_order {
@@ -32,37 +31,40 @@
 struct failover {
 	enum failover_phase phase;
 	uint64_t term;
-	int64_t since_us; /**< start of the phase */
-	int64_t not_before_us;
-	unsigned granted; /**< members that pledged to @a term */
+	int64_t since_us;      /**< start of the phase */
+	int64_t not_before_us; /**< earliest start of the next attempt */
+	unsigned granted;      /**< members that pledged to @a term */
 	unsigned refused;
 	bool grant[GROUP_MEMBERS_MAX];
 	struct pos received[GROUP_MEMBERS_MAX];
-	int chosen;
-	unsigned tries; /**< changes begun since the last good primary */
+	int chosen;	/**< member to promote, or -1 */
+	unsigned tries; /**< attempts since the group last had a working primary */
 };
 
-/** How long a primary must have been found down before a change begins. */
-#define FAILOVER_PATIENCE_US (100 * USEC_PER_MSEC)
-/** Time for the answers of one phase. */
-#define FAILOVER_PHASE_US (400 * USEC_PER_MSEC)
+/** How long a primary must have been down before a failover begins. */
+#define FAILOVER_DOWN_TIMEOUT_US (100 * USEC_PER_MSEC)
+/** Timeout of one phase: how long to wait for its answers. */
+#define FAILOVER_PHASE_TIMEOUT_US (400 * USEC_PER_MSEC)
 
 /**
- * A moment has passed. @a rank is this VM's place among the promoters of the group (0 first) and @a
- * random spreads duels. Begins a change when the group has had no primary for long enough.
+ * Advances the state machine to @a now_us. Begins a failover when the group has had no primary for
+ * FAILOVER_DOWN_TIMEOUT_US, and gives up a phase that has timed out.
+ * @param rank this VM's rank among the promoters of the group, 0 first
+ * @param random random number that spreads the attempts of competing promoters
  */
 struct failover_order failover_tick(struct failover *f, const struct group_view *g, unsigned rank,
 				    uint64_t random, int64_t now_us);
 
 /**
- * @a member answered follow(@a term, none): pledged with its log at @a received, or refused having
- * @a seen_term.
+ * Handles the answer of @a member to follow(@a term, none).
+ * @param pledged whether the member has moved to @a term; false: it refused
+ * @param received end of the member's log, if it pledged
  */
 struct failover_order failover_fenced(struct failover *f, const struct group_view *g, int member,
 				      uint64_t term, bool pledged, struct pos received,
 				      int64_t now_us);
 
-/** The chosen member answered promote(@a term). */
+/** Handles the answer of the chosen member to promote(@a term); @a ok if it was promoted. */
 struct failover_order failover_promoted(struct failover *f, uint64_t term, bool ok, int64_t now_us);
 
 #endif
--- a/decide/fairq.c
+++ b/decide/fairq.c
@@ -5,10 +5,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** First guess of an item's time in a slot. */
-#define SERVICE_START_US 500.0
+/** Initial value of the moving average of the service time. */
+#define SERVICE_INITIAL_US 500.0
 /** Weight of a new sample in the moving average. */
 #define SERVICE_ALPHA 0.05
+/** Minimum number of items that a team may have queued, however small its share. */
+#define TEAM_LIMIT_MIN 4
 
 void fairq_init(struct fairq *q, unsigned limit, unsigned slots)
 {
@@ -17,7 +19,7 @@
 	TAILQ_INIT(&q->idle);
 	q->limit = limit;
 	q->slots = slots > 0 ? slots : 1;
-	q->service_us = SERVICE_START_US;
+	q->service_us = SERVICE_INITIAL_US;
 }
 
 static void fairq_free_teams(struct fairq_teams *teams)
@@ -75,22 +77,25 @@
 	return sum;
 }
 
-/** Wait of a new item of @a t: its place in the team, served at the team's part of the slots. */
+/**
+ * Predicts the wait of a new item of @a t that has @a ahead items of its team before it: the time
+ * to serve them with the team's share of the slots, at most the time to serve the whole queue.
+ */
 static int64_t fairq_predict_us(const struct fairq *q, const struct fairq_team *t, unsigned ahead)
 {
-	double part = t->weight / fairq_active_weight(q, t);
-	double wait = (double)ahead * q->service_us / (double)q->slots / part;
-	double whole = (double)q->length * q->service_us / (double)q->slots;
+	double share = t->weight / fairq_active_weight(q, t);
+	double wait_us = (double)ahead * q->service_us / (double)q->slots / share;
+	double drain_us = (double)q->length * q->service_us / (double)q->slots;
 
-	return (int64_t)(wait < whole ? wait : whole);
+	return (int64_t)(wait_us < drain_us ? wait_us : drain_us);
 }
 
-/** Most items that one team may have waiting: its part by weight, and always a few. */
+/** @return how many items @a t may have queued: its share of the limit by weight, with a minimum */
 static unsigned fairq_team_limit(const struct fairq *q, const struct fairq_team *t)
 {
-	unsigned part = (unsigned)((double)q->limit * t->weight / fairq_active_weight(q, t));
+	unsigned share = (unsigned)((double)q->limit * t->weight / fairq_active_weight(q, t));
 
-	return part > 4 ? part : 4;
+	return share > TEAM_LIMIT_MIN ? share : TEAM_LIMIT_MIN;
 }
 
 static void fairq_insert(struct fairq_team *t, struct fairq_item *item)
@@ -131,19 +136,19 @@
 }
 
 /**
- * A team that had nothing waiting for a whole round is below its part: its first item goes next,
- * and does not wait for the round that teams with a backlog are in. One that was idle for less
- * takes its place at the end, so that emptying its queue again and again brings it no more than its
- * part.
+ * Moves @a t to the active teams. A team that was idle for a whole round has used less than its
+ * share, so its first item is served next instead of after the current round of the teams with a
+ * backlog. A team that was idle for a shorter time goes to the end of the round; otherwise a team
+ * could get more than its share by emptying its queue repeatedly.
  */
 static void fairq_activate(struct fairq *q, struct fairq_team *t)
 {
-	bool rested = q->turns - t->idle_turn >= fairq_active_teams(q);
+	bool idle_for_round = q->turns - t->idle_since_turn >= fairq_active_teams(q);
 
 	TAILQ_REMOVE(&q->idle, t, link);
 	t->active = true;
-	t->deficit = rested ? 1 : 0;
-	if (rested)
+	t->deficit = idle_for_round ? 1 : 0;
+	if (idle_for_round)
 		TAILQ_INSERT_HEAD(&q->active, t, link);
 	else
 		TAILQ_INSERT_TAIL(&q->active, t, link);
@@ -154,21 +159,20 @@
 {
 	struct fairq_outcome out = {.verdict = FAIRQ_QUEUED};
 	struct fairq_team *t = fairq_team_get(q, team);
-	int64_t wait;
+	int64_t wait_us;
 
 	t->weight = weight > 1 ? weight : 1;
-	wait = fairq_predict_us(q, t, fairq_ahead(t, item->deadline_us));
-	out.retry_after_us = wait;
+	wait_us = fairq_predict_us(q, t, fairq_ahead(t, item->deadline_us));
+	out.retry_after_us = wait_us;
 	/*
-	 * A team that sends several times its rate would fill the whole queue, and every other team
-	 * would be refused as full. Each team is held to its part by weight, so its excess is
-	 * refused to itself alone.
+	 * Without a limit per team, a team that sends several times its rate would fill the queue,
+	 * and requests of every other team would be refused because the queue is full.
 	 */
 	if (q->length >= q->limit || t->length >= fairq_team_limit(q, t)) {
 		out.verdict = FAIRQ_FULL;
 		return out;
 	}
-	if (now_us + wait > item->deadline_us) {
+	if (now_us + wait_us > item->deadline_us) {
 		out.verdict = FAIRQ_TOO_LATE;
 		return out;
 	}
@@ -181,7 +185,7 @@
 	return out;
 }
 
-static void fairq_drop_from_team(struct fairq *q, struct fairq_item *item)
+static void fairq_unlink(struct fairq *q, struct fairq_item *item)
 {
 	struct fairq_team *t = item->team;
 
@@ -195,7 +199,7 @@
 	TAILQ_INSERT_TAIL(&q->idle, t, link);
 	t->active = false;
 	t->deficit = 0;
-	t->idle_turn = q->turns;
+	t->idle_since_turn = q->turns;
 }
 
 static double fairq_largest_weight(const struct fairq *q)
@@ -222,8 +226,8 @@
 			return NULL;
 		if (t->deficit < 1) {
 			/*
-			 * A team's turn ends here; it is credited for the next round, so every
-			 * round ends.
+			 * The team's turn ends. Its deficit grows in every round, so it reaches 1
+			 * after a finite number of rounds.
 			 */
 			t->deficit += t->weight / quantum;
 			q->turns++;
@@ -233,7 +237,7 @@
 		}
 		t->deficit -= 1;
 		item = TAILQ_FIRST(&t->items);
-		fairq_drop_from_team(q, item);
+		fairq_unlink(q, item);
 		return item;
 	}
 }
@@ -241,7 +245,7 @@
 void fairq_remove(struct fairq *q, struct fairq_item *item)
 {
 	if (item->team != NULL)
-		fairq_drop_from_team(q, item);
+		fairq_unlink(q, item);
 }
 
 struct fairq_item *fairq_expired(struct fairq *q, int64_t now_us)
@@ -252,14 +256,14 @@
 		struct fairq_item *first = TAILQ_FIRST(&t->items);
 
 		if (first->deadline_us <= now_us) {
-			fairq_drop_from_team(q, first);
+			fairq_unlink(q, first);
 			return first;
 		}
 	}
 	return NULL;
 }
 
-void fairq_served(struct fairq *q, int64_t us)
+void fairq_record_service(struct fairq *q, int64_t us)
 {
 	q->service_us += SERVICE_ALPHA * ((double)us - q->service_us);
 }
--- a/decide/fairq.h
+++ b/decide/fairq.h
@@ -1,8 +1,8 @@
 /**
  * @file fairq.h
- * The queue in front of one database member: deficit round robin between teams, weighted by their
- * rates; inside a team the earliest deadline goes first. It is bounded, and it predicts waits so
- * that a request which cannot be served in time is refused at once.
+ * The request queue of one database member: deficit round robin between teams, weighted by their
+ * rates; within a team, earliest deadline first. The queue is bounded and predicts the waiting time
+ * of a new request, so that a request that cannot be served by its deadline is refused immediately.
  */
 #ifndef DECIDE_FAIRQ_H
 #define DECIDE_FAIRQ_H
@@ -11,7 +11,7 @@
 
 struct fairq_team;
 
-/** Embedded in what waits. */
+/** Embedded in a queued request. */
 struct fairq_item {
 	TAILQ_ENTRY(fairq_item) link;
 	int64_t deadline_us;
@@ -22,50 +22,50 @@
 struct fairq_team {
 	TAILQ_ENTRY(fairq_team) link;
 	char name[NAME_SIZE];
-	double weight;
-	double deficit;
+	double weight;	/**< the team's rate, at least 1 */
+	double deficit; /**< credit of deficit round robin; one item costs 1 */
 	unsigned length;
-	uint64_t idle_turn; /**< fairq.turns when it last became idle */
+	uint64_t idle_since_turn; /**< fairq.turns when the team last became idle */
 	bool active;
-	struct fairq_items items; /**< by deadline */
+	struct fairq_items items; /**< ordered by deadline */
 };
 TAILQ_HEAD(fairq_teams, fairq_team);
 
 struct fairq {
-	struct fairq_teams active; /**< teams with items, in turn */
+	struct fairq_teams active; /**< teams with queued items, in round-robin order */
 	struct fairq_teams idle;
-	uint64_t turns; /**< turns that have ended */
+	uint64_t turns; /**< number of completed team turns */
 	unsigned length;
-	unsigned limit;	   /**< most items in all */
-	double service_us; /**< moving average of one item's time in a slot */
-	unsigned slots;	   /**< items served side by side */
+	unsigned limit;	   /**< maximum number of items in the queue */
+	double service_us; /**< moving average of the service time of an item */
+	unsigned slots;	   /**< number of items served concurrently */
 };
 
 enum fairq_verdict {
 	FAIRQ_QUEUED,
-	FAIRQ_FULL,	/**< the queue, or the team's part of it, is full */
-	FAIRQ_TOO_LATE, /**< the predicted wait passes the deadline */
+	FAIRQ_FULL,	/**< the queue, or the team's share of it, is full */
+	FAIRQ_TOO_LATE, /**< the predicted wait exceeds the deadline */
 };
 
 struct fairq_outcome {
 	enum fairq_verdict verdict;
-	int64_t retry_after_us; /**< when a place is likely, for a refusal */
+	int64_t retry_after_us; /**< predicted wait; for a refusal, when to retry */
 };
 
 void fairq_init(struct fairq *q, unsigned limit, unsigned slots);
-/** Free the teams; items belong to the caller and must be gone. */
+/** Frees the teams. The items belong to the caller, which must have removed them. */
 void fairq_clear(struct fairq *q);
 
-/** Queue @a item for @a team, of weight @a weight (its rate), or refuse it. */
+/** Queues @a item for @a team, whose weight (its rate) is @a weight, or refuses it. */
 struct fairq_outcome fairq_add(struct fairq *q, struct fairq_item *item, const char *team,
 			       double weight, int64_t now_us);
-/** The next item to serve, removed from the queue; NULL when empty. */
+/** Removes and returns the next item to serve; NULL if the queue is empty. */
 struct fairq_item *fairq_next(struct fairq *q);
-/** Take @a item out before its turn. */
+/** Removes @a item if it is queued. */
 void fairq_remove(struct fairq *q, struct fairq_item *item);
-/** An item whose deadline has passed at @a now_us, removed; NULL when there is none. */
+/** Removes and returns an item whose deadline is at or before @a now_us; NULL if there is none. */
 struct fairq_item *fairq_expired(struct fairq *q, int64_t now_us);
-/** Note that an item spent @a us in a slot. */
-void fairq_served(struct fairq *q, int64_t us);
+/** Adds the service time @a us of an item to the moving average. */
+void fairq_record_service(struct fairq *q, int64_t us);
 
 #endif
--- a/decide/group.c
+++ b/decide/group.c
@@ -1,4 +1,4 @@
-/** @file group.c Views of database groups. */
+/** @file group.c A VM's view of a database group. */
 #include "group.h"
 
 #include <stdio.h>
@@ -40,14 +40,14 @@
 	g->n = n;
 }
 
-static void group_sample(struct group_view *g, const struct member_report *r, int64_t asked_us)
+static void group_add_sample(struct group_view *g, const struct member_report *r, int64_t asked_us)
 {
 	struct age_sample *s;
 
 	if (r->received.term < g->sample_term)
 		return;
 	if (r->seen_term > g->sample_term) {
-		/* Positions of another term say nothing of this one's log. */
+		/* Positions of an earlier term do not compare with those of this term's log. */
 		g->samples = 0;
 		g->sample_term = r->seen_term;
 	}
@@ -68,14 +68,14 @@
 	m->down_since_us = 0;
 	m->report = *r;
 	if (r->primary)
-		group_sample(g, r, asked_us);
+		group_add_sample(g, r, asked_us);
 }
 
 void group_unreachable(struct group_view *g, int member, enum member_state state, int64_t now_us)
 {
 	struct member_view *m = &g->member[member];
 
-	if (m->state != MEMBER_DOWN && m->state != MEMBER_CUT)
+	if (m->state != MEMBER_DOWN && m->state != MEMBER_HOME_UNREACHABLE)
 		m->down_since_us = now_us;
 	m->state = state;
 }
@@ -111,7 +111,7 @@
 	return best;
 }
 
-int group_settled(const struct group_view *g)
+int group_settled_primary(const struct group_view *g)
 {
 	int primary = group_primary(g);
 	unsigned with_term = 0;
--- a/decide/lead.c
+++ b/decide/lead.c
@@ -1,17 +1,18 @@
-/** @file lead.c Owners, senders and the choice of a primary. */
+/** @file lead.c Owners and senders of a group, and the choice of its primary. */
 #include "lead.h"
 
 #include <stdio.h>
 #include <string.h>
 
 /**
- * A primary that answered nothing for so long is asked for by other VMs too. Its longest statements
- * take 110 ms, five times that while it is slow, and both slots must be in such ones at once; a
- * promotion that was not needed costs a second without writes.
+ * After a primary has left requests unanswered for this long, other VMs are asked whether they can
+ * reach it. The longest statements take 110 ms, or five times as long on a slow primary, and would
+ * have to occupy both slots at once to exceed the timeout. A needless promotion costs a second
+ * without writes.
  */
-#define SILENT_US (450 * USEC_PER_MSEC)
-/** The same for one that refuses connections: its process is gone. */
-#define REFUSED_US (40 * USEC_PER_MSEC)
+#define UNANSWERED_TIMEOUT_US (450 * USEC_PER_MSEC)
+/** Timeout for a primary that refuses connections, which means that its process has ended. */
+#define REFUSED_TIMEOUT_US (40 * USEC_PER_MSEC)
 
 bool lead_vm_equal(const struct lead_vm *a, const struct lead_vm *b)
 {
@@ -53,12 +54,12 @@
 }
 
 bool lead_claim(struct lead_record *r, const struct lead_vm *vm, const char *address,
-		bool former_ended)
+		bool previous_ended)
 {
-	struct lead_vm former = r->owner;
+	struct lead_vm previous = r->owner;
 
-	if (former.name[0] != '\0' && !former_ended && !lead_vm_equal(&former, vm) &&
-	    !lead_add_sender(r, &former))
+	if (previous.name[0] != '\0' && !previous_ended && !lead_vm_equal(&previous, vm) &&
+	    !lead_add_sender(r, &previous))
 		return false;
 	lead_remove_sender(r, vm);
 	r->owner = *vm;
@@ -66,7 +67,7 @@
 	return true;
 }
 
-bool lead_recover(struct lead_record *r, const struct lead_record *known)
+bool lead_recover_choice(struct lead_record *r, const struct lead_record *known)
 {
 	if (known->choices <= r->choices)
 		return false;
@@ -76,16 +77,16 @@
 	return true;
 }
 
-int lead_find(const struct lead_record *r, const char *const *names, const struct lead_candidate *c,
-	      unsigned n)
+int lead_find_primary(const struct lead_record *r, const char *const *names,
+		      const struct lead_candidate *c, unsigned n)
 {
 	int best = -1;
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
 		/*
-		 * A primary that was replaced goes on leading in its own eyes until it hears of the
-		 * new one. Taking its word would acknowledge writes that are discarded later.
+		 * A primary that was replaced still reports to be primary until it learns of the
+		 * new one. Writes that it accepts are discarded later and must not be acknowledged.
 		 */
 		if (!c[i].reached || !c[i].primary || c[i].term <= r->floor)
 			continue;
@@ -97,7 +98,7 @@
 	return best;
 }
 
-int lead_choose(const struct lead_candidate *c, unsigned n, int except)
+int lead_choose_successor(const struct lead_candidate *c, unsigned n, int except)
 {
 	int best = -1;
 	unsigned i;
@@ -111,15 +112,16 @@
 	return best;
 }
 
-enum lead_verdict lead_judge(const struct lead_silence *s, int64_t now_us)
+enum lead_verdict lead_judge_primary(const struct lead_silence *s, int64_t now_us)
 {
-	int64_t limit = s->refused ? REFUSED_US : SILENT_US;
+	int64_t timeout = s->refused ? REFUSED_TIMEOUT_US : UNANSWERED_TIMEOUT_US;
 
-	if (s->unheard_us == 0 || now_us - s->unheard_us < limit)
-		return LEAD_FINE;
+	if (s->unheard_us == 0 || now_us - s->unheard_us < timeout)
+		return LEAD_HEALTHY;
 	/*
-	 * The way from here to the primary may be cut while others reach it. Promoting then would
-	 * cost everyone's writes for a second; the group moves to a VM that reaches it instead.
+	 * The primary may be unreachable from this VM only. A promotion would then stop all writes
+	 * to the group for a second; instead the group moves to an owner that can reach the
+	 * primary.
 	 */
-	return s->others_asked ? LEAD_REPLACE : LEAD_ASK;
+	return s->others_asked ? LEAD_REPLACE : LEAD_ASK_OTHERS;
 }
--- a/decide/lead.h
+++ b/decide/lead.h
@@ -1,56 +1,64 @@
 /**
  * @file lead.h
- * Who may send to a group's primary, and when another member may be made the primary. The members
- * refuse no promotion, so the sender is what is fenced: the group's record in the store names its
- * owner, and every VM that may still be sending; a change of primary waits until each of these has
- * stopped by its own word, or its lease has ended. A change of the owner alone needs no wait, since
- * two senders to one primary harm nothing.
+ * Decides which VMs may send statements to a group's primary, and when another member may be
+ * promoted. The owner of a group is the VM that holds its connections and manages its primary. The
+ * members never refuse a promotion, so the VMs that send to them are fenced instead: the group's
+ * record in the store names the owner and every other VM that may still be sending. A change of
+ * primary waits until each of these VMs has confirmed that it stopped, or its lease has ended. A
+ * change of owner that keeps the primary needs no wait, since two VMs may safely send to the same
+ * primary.
  */
 #ifndef DECIDE_LEAD_H
 #define DECIDE_LEAD_H
 
 #include "types.h"
 
-/** Most VMs that one record names besides the owner. */
+/** Maximum number of VMs that a record names besides the owner. */
 #define LEAD_SENDERS_MAX 16
 
-/** A process on a VM. */
+/** A daemon process: the VM it runs on, and an incarnation that differs for each process. */
 struct lead_vm {
 	char name[NAME_SIZE];
 	uint64_t incarnation;
 };
 
-/** The group's record. */
+/** The record of a group in the store. */
 struct lead_record {
 	struct lead_vm owner;
-	char address[ADDRESS_SIZE]; /**< the owner's, for RPC */
-	unsigned n;
-	struct lead_vm sender[LEAD_SENDERS_MAX]; /**< others that may still be sending */
-	/** A member leads only at a term above this, and only if it is the target. */
+	char address[ADDRESS_SIZE]; /**< the owner's RPC address */
+	unsigned n;		    /**< number of senders */
+	/** VMs besides the owner that may still be sending. */
+	struct lead_vm sender[LEAD_SENDERS_MAX];
+	/** Only the target is accepted as primary, and only with a term above this one. */
 	uint64_t floor;
-	char target[NAME_SIZE]; /**< "" before the first change of primary */
-	uint64_t choices;	/**< how often floor and target were written */
+	char target[NAME_SIZE]; /**< chosen primary; "" before the first change of primary */
+	uint64_t choices;	/**< how often floor and target have been changed */
 };
 
 bool lead_vm_equal(const struct lead_vm *a, const struct lead_vm *b);
-/** Note in @a r that @a vm may still be sending. @return false when there is no room. */
+/** Adds @a vm to the senders of @a r, if missing. @return false if the record is full */
 bool lead_add_sender(struct lead_record *r, const struct lead_vm *vm);
 bool lead_has_sender(const struct lead_record *r, const struct lead_vm *vm);
 void lead_remove_sender(struct lead_record *r, const struct lead_vm *vm);
 /**
- * Make @a vm the owner; the one before may still be sending unless it is known to have ended.
- * @return false when the record has no room for it: nobody may claim before a sender has stopped
+ * Makes @a vm the owner and lists the previous owner as a sender.
+ * @param previous_ended whether the previous owner's process is known to have ended, so that it
+ * need not be listed
+ * @return false if the record has no room for the previous owner: ownership cannot be claimed until
+ * one of the senders has stopped
  */
 bool lead_claim(struct lead_record *r, const struct lead_vm *vm, const char *address,
-		bool former_ended);
+		bool previous_ended);
 
 /**
- * Put into @a r a choice of a primary that @a known has and the store, back from an older copy,
- * lacks: the replaced member would be believed again. @return whether @a r lacked it
+ * Copies the choice of a primary (floor, target, choices) from @a known to @a r if @a known has a
+ * later one. A store restored from an older copy may lack the last choice; without it the member
+ * that was replaced would be accepted as primary again.
+ * @return whether @a r was changed
  */
-bool lead_recover(struct lead_record *r, const struct lead_record *known);
+bool lead_recover_choice(struct lead_record *r, const struct lead_record *known);
 
-/** What the owner sees of one member when it looks for one to lead. */
+/** Status of a member as the owner sees it when it looks for the primary or chooses a new one. */
 struct lead_candidate {
 	bool reached;
 	bool leaving;
@@ -59,30 +67,34 @@
 	struct pos received;
 };
 
-/** The member that leads by its own word and the record's, or -1. */
-int lead_find(const struct lead_record *r, const char *const *names, const struct lead_candidate *c,
-	      unsigned n);
 /**
- * The member to promote: not leaving, with the newest log. @a except is not taken (-1: none).
- * @return its index, or -1
+ * @return index of the member that reports to be primary and that the record accepts as primary, or
+ * -1
  */
-int lead_choose(const struct lead_candidate *c, unsigned n, int except);
+int lead_find_primary(const struct lead_record *r, const char *const *names,
+		      const struct lead_candidate *c, unsigned n);
+/**
+ * Chooses the member to promote: the reachable member with the newest log that is not leaving.
+ * @param except member to exclude, or -1
+ * @return its index, or -1 if there is none
+ */
+int lead_choose_successor(const struct lead_candidate *c, unsigned n, int except);
 
-/** What is known of the primary's silence. */
+/** What is known about a primary that does not answer. */
 struct lead_silence {
-	int64_t unheard_us; /**< since when something is sent and nothing was answered; 0: all is */
+	int64_t unheard_us; /**< since when requests have been unanswered; 0: none is */
 	bool refused;	    /**< it refuses connections */
-	bool others_asked;  /**< other VMs were asked, and all that answered cannot reach it */
-	unsigned others_silent; /**< of those */
+	bool others_asked;  /**< other VMs were asked recently whether they can reach the primary */
+	unsigned others_silent; /**< number of VMs that answered that they cannot reach it */
 };
 
 enum lead_verdict {
-	LEAD_FINE,
-	LEAD_ASK,     /**< ask other VMs whether they reach it */
-	LEAD_REPLACE, /**< nobody reaches it */
+	LEAD_HEALTHY,	 /**< no action is needed */
+	LEAD_ASK_OTHERS, /**< ask other VMs whether they can reach the primary */
+	LEAD_REPLACE,	 /**< replace the primary, or move the group to a VM that reaches it */
 };
 
-/** Judge the primary. */
-enum lead_verdict lead_judge(const struct lead_silence *s, int64_t now_us);
+/** Decides what to do about a primary that may have failed. */
+enum lead_verdict lead_judge_primary(const struct lead_silence *s, int64_t now_us);
 
 #endif
--- a/decide/marks.c
+++ b/decide/marks.c
@@ -1,4 +1,4 @@
-/** @file marks.c What is known of the newest acknowledged write. */
+/** @file marks.c High-water marks of the primary's log over time. */
 #include "marks.h"
 
 #include <string.h>
@@ -21,14 +21,14 @@
 		return;
 	if (m->term_start.term == 0)
 		m->term_start = pos;
-	/* Answers may come in another order than their statements were sent. */
+	/* Answers may arrive in a different order than their statements were sent. */
 	if (pos_cmp(pos, m->newest.pos) < 0)
 		pos = m->newest.pos;
 	if (asked_us > m->newest.asked_us)
 		m->newest.asked_us = asked_us;
 	m->newest.pos = pos;
 	last = m->n > 0 ? mark_at(m, m->n - 1) : NULL;
-	if (last != NULL && asked_us - last->asked_us < MARKS_STEP_US)
+	if (last != NULL && asked_us - last->asked_us < MARKS_INTERVAL_US)
 		return;
 	if (m->n == MARKS_MAX) {
 		m->first = (m->first + 1) % MARKS_MAX;
@@ -44,7 +44,7 @@
 	marks_add(m, start, asked_us);
 }
 
-bool marks_need(const struct marks *m, int64_t since_us, struct pos *need)
+bool marks_required(const struct marks *m, int64_t since_us, struct pos *need)
 {
 	unsigned low = 0, high = m->n;
 
@@ -64,11 +64,12 @@
 	return m->newest.pos.term != 0 && m->newest.asked_us >= since_us;
 }
 
-struct pos marks_own(const struct marks *m, struct pos own)
+struct pos marks_in_current_term(const struct marks *m, struct pos own)
 {
 	/*
-	 * A write of an earlier term may have been discarded by the promotion, and no member would
-	 * ever have its position. What the new primary began with holds all that was kept of it.
+	 * A write of an earlier term may have been discarded by the promotion; then no member ever
+	 * reaches its position. The first position of the new primary includes every earlier write
+	 * that was kept.
 	 */
 	if (own.term != 0 && own.term < m->term_start.term)
 		return m->term_start;
--- a/decide/marks.h
+++ b/decide/marks.h
@@ -1,46 +1,53 @@
 /**
  * @file marks.h
- * What is known of the newest acknowledged write, and since when: each answer of the primary tells
- * a position that holds every write acknowledged before its statement was sent. A read that may be
- * so much behind needs the position that was known true at that moment.
+ * High-water marks of the primary's log over time. Each answer of the primary carries a log
+ * position that includes every write acknowledged before the statement was sent. From these marks
+ * follows which position a replica must have applied to serve a read with a given maximum age.
  */
 #ifndef DECIDE_MARKS_H
 #define DECIDE_MARKS_H
 
 #include "types.h"
 
-/** Marks that are kept; at MARKS_STEP_US apart they reach back eight seconds. */
+/** Number of marks that are kept; at intervals of MARKS_INTERVAL_US they cover eight seconds. */
 #define MARKS_MAX 200
-/** Marks closer together than this are not kept apart: a read asks for at most so much too much. */
-#define MARKS_STEP_US (40 * USEC_PER_MSEC)
+/**
+ * Minimum interval between two marks. A read may require a position that is newer than necessary by
+ * at most this much time.
+ */
+#define MARKS_INTERVAL_US (40 * USEC_PER_MSEC)
 
+/** The log position @a pos includes every write acknowledged before @a asked_us. */
 struct mark {
-	int64_t asked_us;
+	int64_t asked_us; /**< when the statement was sent */
 	struct pos pos;
 };
 
 struct marks {
-	unsigned first;
+	unsigned first; /**< index of the oldest mark in the ring buffer */
 	unsigned n;
 	struct mark mark[MARKS_MAX];
-	struct mark newest;
-	struct pos term_start; /**< first position seen of the present term */
+	struct mark newest;    /**< from all answers, also those closer than MARKS_INTERVAL_US */
+	struct pos term_start; /**< first position seen in the current term */
 };
 
 void marks_clear(struct marks *m);
-/** The primary answered @a pos to what was sent at @a asked_us. */
+/** Records that the primary answered a statement sent at @a asked_us with log position @a pos. */
 void marks_add(struct marks *m, struct pos pos, int64_t asked_us);
 /**
- * A new primary leads; @a start is the first position it told. Writes that its promotion discarded
- * are owed to nobody.
+ * Starts over with the first position @a start reported by a new primary. Writes that its promotion
+ * discarded are no longer required of any read.
  */
 void marks_new_term(struct marks *m, struct pos start, int64_t asked_us);
 /**
- * A position that holds every write acknowledged before @a since_us.
- * @return false when nothing so new is known
+ * Finds a position that includes every write acknowledged before @a since_us.
+ * @return false if no statement sent at or after @a since_us has been answered
+ */
+bool marks_required(const struct marks *m, int64_t since_us, struct pos *need);
+/**
+ * Returns the position in the current term's log that includes what was kept of a session's own
+ * write at @a own.
  */
-bool marks_need(const struct marks *m, int64_t since_us, struct pos *need);
-/** The position that stands for a session's own write at @a own in the present term's log. */
-struct pos marks_own(const struct marks *m, struct pos own);
+struct pos marks_in_current_term(const struct marks *m, struct pos own);
 
 #endif
--- a/decide/outcome.c
+++ b/decide/outcome.c
@@ -1,23 +1,23 @@
-/** @file outcome.c The rules of retries and refusals, as one table. */
+/** @file outcome.c Table of the outcomes with their retry rules and error messages. */
 #include "outcome.h"
 
-/** Tries of one request, at most; each costs a round trip. */
+/** Maximum number of attempts at one request; each costs a round trip. */
 #define ATTEMPTS_MAX 2000
-/** First pause between tries, doubled to the last. */
-#define PAUSE_MIN_US (2 * USEC_PER_MSEC)
-#define PAUSE_MAX_US (50 * USEC_PER_MSEC)
+/** Initial delay between attempts, doubled for each further one up to the maximum. */
+#define RETRY_DELAY_MIN_US (2 * USEC_PER_MSEC)
+#define RETRY_DELAY_MAX_US (50 * USEC_PER_MSEC)
 
-/** When a try that ended so may be followed by another one. */
+/** Which requests may be retried after an outcome. */
 enum retry_rule {
 	RETRY_NEVER,
-	RETRY_READ,   /**< a read only: a write may have run */
-	RETRY_ALWAYS, /**< nothing ran */
+	RETRY_READ,   /**< reads only: a write may have run */
+	RETRY_ALWAYS, /**< reads and writes: nothing was run */
 };
 
 static const struct {
 	struct outcome_text text;
 	enum retry_rule rule;
-	bool pause; /**< wait before the next try */
+	bool delayed; /**< wait before the next attempt */
 } rules[OUTCOMES] = {
 	[OUTCOME_DONE] = {{"done", "00000", "done", false}, RETRY_NEVER, false},
 	[OUTCOME_SQL_ERROR] = {{"sql-error", "XX000", "error of the database", false},
@@ -99,11 +99,11 @@
 	return &rules[o].text;
 }
 
-static int64_t pause_us(unsigned attempts)
+static int64_t retry_delay_us(unsigned attempts)
 {
-	int64_t us = PAUSE_MIN_US << (attempts < 5 ? attempts : 5);
+	int64_t us = RETRY_DELAY_MIN_US << (attempts < 5 ? attempts : 5);
 
-	return us < PAUSE_MAX_US ? us : PAUSE_MAX_US;
+	return us < RETRY_DELAY_MAX_US ? us : RETRY_DELAY_MAX_US;
 }
 
 struct retry_decision outcome_next(enum outcome o, const struct retry_state *r, int64_t hint_us,
@@ -117,21 +117,22 @@
 	if (rules[o].rule == RETRY_NEVER || r->attempts >= ATTEMPTS_MAX)
 		return refuse;
 	/*
-	 * A write whose answer was lost may have run. Sending it again would order the cartons
-	 * twice; the caller is told that the outcome is not known instead.
+	 * A write whose answer was lost may have run, and could run twice if it were sent again.
+	 * The caller gets an error saying that the outcome is not known.
 	 */
 	if (rules[o].rule == RETRY_READ && r->write)
 		return refuse;
 	/*
-	 * A statement inside a transaction belongs to one connection; elsewhere its earlier
-	 * statements are missing.
+	 * A transaction is bound to one connection: on another one its earlier statements are
+	 * missing.
 	 */
 	if (r->in_transaction)
 		return refuse;
-	if (rules[o].pause) {
+	if (rules[o].delayed) {
 		d.step = STEP_RETRY_LATER;
-		d.after_us =
-			hint_us > 0 && hint_us < PAUSE_MAX_US ? hint_us : pause_us(r->attempts);
+		d.after_us = hint_us > 0 && hint_us < RETRY_DELAY_MAX_US
+				     ? hint_us
+				     : retry_delay_us(r->attempts);
 	}
 	if (now_us + d.after_us >= r->deadline_us)
 		return refuse;
--- a/decide/ready.c
+++ b/decide/ready.c
@@ -1,24 +1,27 @@
-/** @file ready.c Whether this VM should take callers. */
+/** @file ready.c Decides whether this VM is ready to take callers. */
 #include "ready.h"
 
 /**
- * Without a word from another data centre for so long this VM counts as cut off. An answer is due
- * several times in it, and a VM that is five times slower than usual still gives one.
+ * Time without contact to any other data centre after which this VM counts as cut off. Several
+ * answers are due within it, and at least one arrives even if a VM is five times slower than usual.
  */
-#define SILENT_US (500 * USEC_PER_MSEC)
-/** Over which answers are counted. */
+#define CONTACT_TIMEOUT_US (500 * USEC_PER_MSEC)
+/** Window over which served and unserved statements are counted. */
 #define WINDOW_US (200 * USEC_PER_MSEC)
-/** The balancer asks once a second and takes two misses. */
-#define CLOSE_AFTER_US (2000 * USEC_PER_MSEC)
+/**
+ * Delay until idle sessions are closed: the load balancer probes once a second and removes a VM
+ * after two failed probes.
+ */
+#define CLOSE_IDLE_DELAY_US (2000 * USEC_PER_MSEC)
 
 static void window_begin(struct ready *r, int64_t now_us)
 {
-	r->since_us = now_us;
+	r->window_start_us = now_us;
 	r->served = 0;
 	r->unserved = 0;
 }
 
-void ready_note(struct ready *r, bool served)
+void ready_count(struct ready *r, bool served)
 {
 	if (served)
 		r->served++;
@@ -26,20 +29,20 @@
 		r->unserved++;
 }
 
-bool ready_judge(struct ready *r, int64_t heard_us, int64_t now_us)
+bool ready_update(struct ready *r, int64_t last_contact_us, int64_t now_us)
 {
-	if (heard_us == 0 || now_us - heard_us < SILENT_US) {
+	if (last_contact_us == 0 || now_us - last_contact_us < CONTACT_TIMEOUT_US) {
 		r->away = false;
 		window_begin(r, now_us);
 		return true;
 	}
 	if (r->away)
 		return false;
-	if (now_us - r->since_us < WINDOW_US)
+	if (now_us - r->window_start_us < WINDOW_US)
 		return true;
 	if (r->unserved > r->served) {
 		r->away = true;
-		r->away_us = now_us;
+		r->away_since_us = now_us;
 	}
 	window_begin(r, now_us);
 	return !r->away;
@@ -47,5 +50,5 @@
 
 bool ready_close_idle(const struct ready *r, int64_t now_us)
 {
-	return r->away && now_us - r->away_us >= CLOSE_AFTER_US;
+	return r->away && now_us - r->away_since_us >= CLOSE_IDLE_DELAY_US;
 }
--- a/decide/ready.h
+++ b/decide/ready.h
@@ -1,10 +1,11 @@
 /**
  * @file ready.h
- * Whether this VM should take callers. Answers the load of a data centre, or of one VM, that is cut
- * off from the others while its callers still reach it. What needs an owner on the other side is
- * refused here and would be served elsewhere; what an owner on this side serves would be refused
- * there. Callers go where more of it is, by what they were answered lately; reads that any replica
- * serves count for neither.
+ * Decides whether this VM is ready to take callers while its data centre, or the VM alone, is cut
+ * off from the other data centres but still reachable by callers. Statements that need an owner
+ * (the VM that manages a group's primary) outside the partition fail here but would be served
+ * elsewhere, and those that need an owner inside would fail elsewhere. The VM reports not ready if
+ * in the last window more such statements failed than were served. Reads that any replica serves
+ * are not counted.
  */
 #ifndef DECIDE_READY_H
 #define DECIDE_READY_H
@@ -12,24 +13,25 @@
 #include "types.h"
 
 struct ready {
-	bool away;	  /**< callers are better served elsewhere */
-	int64_t away_us;  /**< since when */
-	int64_t since_us; /**< begin of the window that is counted; 0: none */
-	unsigned served;
-	unsigned unserved;
+	bool away; /**< not ready: callers are better served elsewhere */
+	int64_t away_since_us;
+	int64_t window_start_us; /**< start of the current window; 0: none */
+	unsigned served;	 /**< statements served in the current window */
+	unsigned unserved;	 /**< statements not served for want of an owner */
 };
 
-/** An owner on this side served a statement, or it was not served for want of one. */
-void ready_note(struct ready *r, bool served);
+/** Counts a statement that an owner served, or that failed because no owner was reachable. */
+void ready_count(struct ready *r, bool served);
 /**
- * Judge anew. @param heard_us when a VM of another data centre was last heard; 0: there is none to
- * hear
- * @return whether this VM should take callers
+ * Re-evaluates readiness.
+ * @param last_contact_us when a VM of another data centre last answered; 0: there is no other data
+ * centre
+ * @return whether this VM is ready to take callers
  */
-bool ready_judge(struct ready *r, int64_t heard_us, int64_t now_us);
+bool ready_update(struct ready *r, int64_t last_contact_us, int64_t now_us);
 /**
- * Whether sessions at rest should be closed, so that their callers open new ones: the balancer has
- * seen by now that this VM is not ready, and sends them elsewhere.
+ * Decides whether idle sessions should be closed so that their callers reconnect. By then the load
+ * balancer has seen that this VM is not ready and directs new connections elsewhere.
  */
 bool ready_close_idle(const struct ready *r, int64_t now_us);
 
--- a/decide/route.c
+++ b/decide/route.c
@@ -1,10 +1,10 @@
-/** @file route.c Choice of the member that serves a request. */
+/** @file route.c Chooses the member that serves a request. */
 #include "route.h"
 
 #include <string.h>
 
-/** How soon an entry VM asks again when no member can be used. */
-#define ROUTE_WAIT_US (20 * USEC_PER_MSEC)
+/** Delay before the next attempt when no member is usable. */
+#define ROUTE_RETRY_DELAY_US (20 * USEC_PER_MSEC)
 
 static const char *const cause_names[] = {
 	[ROUTE_CAUSE_WRITE] = "write",
@@ -31,7 +31,7 @@
 	return -1;
 }
 
-void route_learn_primary(struct route_view *v, const char *primary, uint64_t term)
+void route_update_primary(struct route_view *v, const char *primary, uint64_t term)
 {
 	int i = route_find(v, primary);
 
@@ -46,9 +46,12 @@
 	return !m->leaving && m->avoid_until_us <= now_us;
 }
 
-/** Whether a replica is worth asking: its home checks the position in the answer itself. */
-static bool replica_fits(const struct route_view *v, int i, const struct route_request *req,
-			 int64_t now_us)
+/**
+ * Checks whether a replica may have the required data. Its home verifies the position when it
+ * serves the read.
+ */
+static bool replica_eligible(const struct route_view *v, int i, const struct route_request *req,
+			     int64_t now_us)
 {
 	const struct route_member *m = &v->member[i];
 
@@ -62,39 +65,39 @@
 static int choose_replica(const struct route_view *v, const struct route_request *req,
 			  int64_t now_us)
 {
-	int fits[GROUP_MEMBERS_MAX];
+	int eligible[GROUP_MEMBERS_MAX];
 	unsigned n = 0;
-	unsigned near = 0;
+	unsigned local = 0;
 	unsigned i;
 
 	for (i = 0; i < v->n; i++) {
-		if (!replica_fits(v, (int)i, req, now_us))
+		if (!replica_eligible(v, (int)i, req, now_us))
 			continue;
-		fits[n++] = (int)i;
+		eligible[n++] = (int)i;
 		if (v->member[i].near)
-			near++;
+			local++;
 	}
 	if (n == 0)
 		return -1;
-	if (near == 0)
-		return fits[req->random % n];
+	if (local == 0)
+		return eligible[req->random % n];
 	for (i = 0; i < n; i++) {
-		if (v->member[fits[i]].near)
-			return fits[i];
+		if (v->member[eligible[i]].near)
+			return eligible[i];
 	}
 	return -1;
 }
 
-/** A member to ask when the primary is not known: each try asks another one. */
+/** Chooses a member to ask when the primary is not known; each attempt asks a different one. */
 static int choose_any(const struct route_view *v, const struct route_request *req, int64_t now_us)
 {
 	unsigned i;
 
 	for (i = 0; i < v->n; i++) {
-		unsigned at = (unsigned)((req->random + req->attempt + i) % v->n);
+		unsigned candidate = (unsigned)((req->random + req->attempt + i) % v->n);
 
-		if (member_usable(&v->member[at], now_us))
-			return (int)at;
+		if (member_usable(&v->member[candidate], now_us))
+			return (int)candidate;
 	}
 	return -1;
 }
@@ -119,7 +122,7 @@
 		.verdict = ROUTE_WAIT,
 		.cause = ROUTE_CAUSE_NONE_USABLE,
 		.member = -1,
-		.retry_after_us = ROUTE_WAIT_US,
+		.retry_after_us = ROUTE_RETRY_DELAY_US,
 	};
 	int any;
 
@@ -139,8 +142,8 @@
 	if (req->write)
 		return choose_primary(v, req, ROUTE_CAUSE_WRITE, now_us);
 	/*
-	 * A session that wrote but does not show its token would read a replica that lacks the
-	 * write. Without a token and without a stated age, only the primary is sure to have it.
+	 * A session that wrote but does not send its token could read from a replica that lacks the
+	 * write. Without a token and a maximum age, only the primary is guaranteed to have it.
 	 */
 	if (!req->has_token && req->max_age_us == 0)
 		return choose_primary(v, req, ROUTE_CAUSE_NEEDS_PRIMARY, now_us);
--- a/decide/succession.c
+++ b/decide/succession.c
@@ -1,19 +1,22 @@
-/** @file succession.c What follows from what is known of a primary that is to be replaced. */
+/** @file succession.c Decisions on a primary that may have to be replaced. */
 #include "succession.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/** A sender whose primary answered this lately goes on. */
-#define GOES_ON_US (500 * USEC_PER_MSEC)
-/** A primary that a former owner heard this lately lives; senders are asked five times as often. */
-#define HEARD_US (1 * USEC_PER_SEC)
-/** A VM that does not reach a living primary by then gives the group back. */
-#define REACH_US (600 * USEC_PER_MSEC)
-/** A living primary with no sender left has so long to be listed and reached. */
-#define RETURN_US (2500 * USEC_PER_MSEC)
-/** A choice waits so long for members that hold what was acknowledged. */
-#define CHOICE_US (500 * USEC_PER_MSEC)
+/** A sender continues if the primary answered it within this time. */
+#define CONTINUE_WINDOW_US (500 * USEC_PER_MSEC)
+/**
+ * A primary that answered a previous owner within this time counts as alive. Senders are
+ * asked for their last contact five times within this interval.
+ */
+#define CONTACT_TIMEOUT_US (1 * USEC_PER_SEC)
+/** A VM that cannot reach a live primary within this time hands the group back. */
+#define REACH_TIMEOUT_US (600 * USEC_PER_MSEC)
+/** Time for a live primary that no VM sends to any more to be registered and reached again. */
+#define RETURN_TIMEOUT_US (2500 * USEC_PER_MSEC)
+/** Time that a choice waits for a member with every write known to be acknowledged. */
+#define CHOICE_TIMEOUT_US (500 * USEC_PER_MSEC)
 
 void succession_begin(struct succession *s, int64_t now_us)
 {
@@ -40,8 +43,9 @@
 	succession_acknowledged(s, r->acknowledged, r->heard_us);
 	if (r->stopped && strcmp(s->vm, r->vm) == 0)
 		s->vm[0] = '\0';
-	/* A primary that was heard only before it fell silent here may be gone. */
-	if (r->primary[0] == '\0' || r->heard_us <= s->since_us || now_us - r->heard_us > HEARD_US)
+	/* Contact before this VM lost its own contact does not show that the primary is alive. */
+	if (r->primary[0] == '\0' || r->heard_us <= s->since_us ||
+	    now_us - r->heard_us > CONTACT_TIMEOUT_US)
 		return;
 	if (s->reported_us == 0)
 		s->reported_us = now_us;
@@ -55,32 +59,34 @@
 	s->incarnation = r->incarnation;
 }
 
-bool succession_goes_on(const struct succession_sender *s, int64_t now_us)
+bool succession_may_continue(const struct succession_sender *s, int64_t now_us)
 {
 	if (s->leaving || !s->may_send || s->heard_us == 0)
 		return false;
-	return now_us - s->heard_us < (s->quiet_us < GOES_ON_US ? s->quiet_us : GOES_ON_US);
+	return now_us - s->heard_us <
+	       (s->quiet_us < CONTINUE_WINDOW_US ? s->quiet_us : CONTINUE_WINDOW_US);
 }
 
-enum succession_verdict succession_judge(const struct succession *s, int64_t now_us)
+enum succession_verdict succession_judge_primary(const struct succession *s, int64_t now_us)
 {
-	int64_t since = now_us - s->reported_us;
+	int64_t known_us = now_us - s->reported_us;
 
-	if (s->heard_us == 0 || now_us - s->heard_us > RETURN_US)
+	if (s->heard_us == 0 || now_us - s->heard_us > RETURN_TIMEOUT_US)
 		return SUCCESSION_CHOOSE;
-	if (since < REACH_US)
+	if (known_us < REACH_TIMEOUT_US)
 		return SUCCESSION_WAIT;
-	if (s->vm[0] != '\0' && now_us - s->heard_us < HEARD_US)
+	if (s->vm[0] != '\0' && now_us - s->heard_us < CONTACT_TIMEOUT_US)
 		return SUCCESSION_HAND_BACK;
 	return SUCCESSION_WAIT;
 }
 
 bool succession_choice_waits(const struct succession *s, const struct succession_choice *c)
 {
-	return c->may_gain && c->waited_us < CHOICE_US && pos_cmp(c->best, s->acknowledged) < 0;
+	return c->may_gain && c->waited_us < CHOICE_TIMEOUT_US &&
+	       pos_cmp(c->best, s->acknowledged) < 0;
 }
 
-uint64_t succession_settle(struct succession *s, struct pos start)
+uint64_t succession_complete(struct succession *s, struct pos start)
 {
 	uint64_t discarded = 0;
 
--- a/decide/succession.h
+++ b/decide/succession.h
@@ -1,77 +1,84 @@
 /**
  * @file succession.h
- * What a change of primary knows of the primary that it is to replace, and what follows from it: a
- * primary that answers a former owner is kept, and a successor has what was acknowledged as far as
- * anybody can still show it. Answers the end of a cut: a data centre returns with a primary, its
- * owner and their callers, who went on among themselves.
+ * Collects what is known of a primary during a change of primary, and decides from it. The owner of
+ * a group is the VM that holds its connections and manages its primary. A primary that still
+ * answers the previous owner is kept. The choice of a successor waits for a limited time for a
+ * member that has every write that any reachable VM can show to be acknowledged. This covers the
+ * end of a network partition, when a data centre rejoins with a primary, its owner and their
+ * callers that continued to work within the partition.
  */
 #ifndef DECIDE_SUCCESSION_H
 #define DECIDE_SUCCESSION_H
 
 #include "types.h"
 
-/** What a VM that sent to the primary tells when it is asked to stop. */
+/** Answer of a VM that was sending to the primary to the request to stop. */
 struct succession_report {
 	char vm[NAME_SIZE];
 	uint64_t incarnation;
-	bool stopped;		 /**< it sends no more */
-	char primary[NAME_SIZE]; /**< "" when it knows none */
-	struct pos acknowledged; /**< holds every write that it acknowledged */
+	bool stopped;		 /**< it has stopped sending */
+	char primary[NAME_SIZE]; /**< primary that it was sending to; "" if it knows none */
+	struct pos acknowledged; /**< position that includes every write it acknowledged */
 	int64_t heard_us;	 /**< when the primary last answered it; 0: never */
 };
 
 struct succession {
-	int64_t since_us; /**< this VM has not heard the primary since; later reports count */
-	struct pos acknowledged; /**< highest known position that holds acknowledged writes */
-	int64_t acknowledged_us; /**< when it was known; 0: none is */
-	char primary[NAME_SIZE]; /**< that a former owner still hears */
-	int64_t heard_us;	 /**< when that one last heard it; 0: none does */
-	int64_t reported_us;	 /**< when this change first learned of it */
-	char vm[NAME_SIZE];	 /**< former owner that goes on sending; "" for none */
+	int64_t since_us; /**< no contact with the primary since; only later contact counts */
+	struct pos acknowledged; /**< highest position known to contain acknowledged writes */
+	int64_t acknowledged_us; /**< when that position was last current; 0: none is known */
+	char primary[NAME_SIZE]; /**< primary that still answers a previous owner */
+	int64_t heard_us;	 /**< when it last answered a previous owner; 0: never */
+	int64_t reported_us;	 /**< when that was first reported to this VM */
+	char vm[NAME_SIZE];	 /**< previous owner that continues to send; "" for none */
 	uint64_t incarnation;
 };
 
-/** A new owner, or a new change: what was acknowledged stays known. */
+/** Resets the state for a new owner or a new change; keeps the acknowledged position. */
 void succession_begin(struct succession *s, int64_t now_us);
-/** Some VM has shown that @a pos holds acknowledged writes. */
+/** Records that @a pos is known to contain acknowledged writes. */
 void succession_acknowledged(struct succession *s, struct pos pos, int64_t at_us);
+/** Records the answer of a VM that was asked to stop sending. */
 void succession_report(struct succession *s, const struct succession_report *r, int64_t now_us);
 
-/** A VM that is asked to stop sending to a primary. */
+/** State of a VM that is asked to stop sending to a primary. */
 struct succession_sender {
-	bool may_send;	  /**< it holds its lease, and has not stopped */
+	bool may_send;	  /**< it holds its lease and has not stopped */
 	bool leaving;	  /**< its process is about to end */
-	int64_t quiet_us; /**< for how long the VM that asks has not heard the primary; 0: the
+	int64_t quiet_us; /**< how long the primary has not answered the requesting VM; 0: the
 			     change is planned */
 	int64_t heard_us; /**< when the primary last answered it; 0: never */
 };
 
-/** Whether it goes on: two senders to one primary harm nothing, and a needless stop costs calls. */
-bool succession_goes_on(const struct succession_sender *s, int64_t now_us);
+/**
+ * Decides whether the VM may continue to send. Two VMs may safely send to the same primary, whereas
+ * a needless stop makes requests fail.
+ */
+bool succession_may_continue(const struct succession_sender *s, int64_t now_us);
 
 enum succession_verdict {
-	SUCCESSION_CHOOSE,    /**< nobody hears the primary: it is to be replaced */
-	SUCCESSION_WAIT,      /**< it lives: this VM should reach it soon */
-	SUCCESSION_HAND_BACK, /**< it lives, and only the former owner reaches it */
+	SUCCESSION_CHOOSE,    /**< the primary answers no VM: choose a successor */
+	SUCCESSION_WAIT,      /**< the primary is alive: wait until this VM can reach it */
+	SUCCESSION_HAND_BACK, /**< the primary is alive and only the previous owner can reach it */
 };
 
-/** Judge an unplanned change before it chooses a successor. */
-enum succession_verdict succession_judge(const struct succession *s, int64_t now_us);
+/** Decides whether an unplanned change may choose a successor. */
+enum succession_verdict succession_judge_primary(const struct succession *s, int64_t now_us);
 
-/** What is known when a successor is to be chosen. */
+/** State of the choice of a successor. */
 struct succession_choice {
-	struct pos best; /**< newest position that a candidate holds */
-	bool may_gain;	 /**< a member is not reached, or a primary may still be feeding replicas */
-	int64_t waited_us; /**< since the choice began */
+	struct pos best; /**< newest log position among the candidates */
+	bool may_gain; /**< a newer log may appear: a member is unreachable, or a primary may still
+replicate */
+	int64_t waited_us; /**< time since the choice began */
 };
 
-/** Whether the choice waits for a candidate that holds what was acknowledged. */
+/** Decides whether to wait for a candidate that has every write known to be acknowledged. */
 bool succession_choice_waits(const struct succession *s, const struct succession_choice *c);
 
 /**
- * A primary leads a new term from @a start on: up to how many acknowledged commits its promotion
- * discarded. What was acknowledged before is settled with that.
+ * Ends the change: a primary has started a new term at @a start. Forgets the acknowledged position.
+ * @return upper bound of the number of acknowledged commits that the promotion discarded
  */
-uint64_t succession_settle(struct succession *s, struct pos start);
+uint64_t succession_complete(struct succession *s, struct pos start);
 
 #endif
--- a/decide/token.c
+++ b/decide/token.c
@@ -1,4 +1,4 @@
-/** @file token.c Session tokens and the fate of the write that a token names. */
+/** @file token.c Session tokens, and whether the write that a token names was kept. */
 #include "token.h"
 
 #include <stdio.h>
@@ -111,8 +111,8 @@
 	}
 	if (s->n == TOKEN_SET_MAX) {
 		/*
-		 * The session's reads elsewhere must not miss the write that is left out here: see
-		 * overflow.
+		 * Reads of the session must still include the write whose token is dropped here,
+		 * which the overflow flag ensures.
 		 */
 		token_set_remove(s, s->token[0].pool);
 		s->overflow = true;
@@ -122,14 +122,14 @@
 	s->n++;
 }
 
-enum token_fate token_fate(struct pos pos, const struct term_history *h)
+enum token_status token_status(struct pos pos, const struct term_history *h)
 {
 	unsigned i;
 
 	/*
-	 * A write of term T survives when the first later term began at or after it. A later term
-	 * that began before it has discarded the tail; reading on in silence would show the session
-	 * a past without its write.
+	 * A write of term T is kept if the first later term starts at or after its position. If a
+	 * later term starts before it, the write was discarded, and the session must get an error
+	 * instead of reading data without its write.
 	 */
 	for (i = 0; i < h->n; i++) {
 		if (h->start[i].term <= pos.term)
@@ -139,17 +139,18 @@
 	return TOKEN_KEPT;
 }
 
-enum token_fate token_fate_in(struct pos pos, uint64_t term, const struct term_history *h)
+enum token_status token_status_in_term(struct pos pos, uint64_t term, const struct term_history *h)
 {
 	uint64_t known = h->n > 0 ? h->start[h->n - 1].term : 0;
 
 	/*
-	 * A promotion after what is known may have discarded the write: judged without it, the
-	 * session would be shown the past in silence.
+	 * A promotion that is not in the known history may have discarded the write. Without its
+	 * start position the write would seem kept, and the session would read data without it and
+	 * get no error.
 	 */
 	if (term > pos.term && known < term)
 		return TOKEN_UNKNOWN;
-	return token_fate(pos, h);
+	return token_status(pos, h);
 }
 
 void term_history_add(struct term_history *h, uint64_t term, uint64_t lsn)
--- a/decide/token.h
+++ b/decide/token.h
@@ -1,7 +1,8 @@
 /**
  * @file token.h
- * The session token: proof of the last write that a session saw acknowledged, carried by the caller
- * between VMs. Text form: "v1:<pool>:<term>:<lsn>", at most TOKEN_SIZE - 1 bytes.
+ * Session tokens. A session token names the log position of the last write that was acknowledged to
+ * a session in a pool (a database group as configured); the caller carries it between VMs. Text
+ * form: "v1:<pool>:<term>:<lsn>", at most TOKEN_SIZE - 1 bytes.
  */
 #ifndef DECIDE_TOKEN_H
 #define DECIDE_TOKEN_H
@@ -16,32 +17,33 @@
 };
 
 /**
- * Most past terms that a member reports. An older token is answered by the primary's oldest entry.
+ * Maximum number of terms that a member reports. A token of an earlier term is checked against the
+ * oldest of them.
  */
 #define TERM_HISTORY_MAX 8
 
 /**
- * Where each term began: the first record of @a term is the one after @a start_lsn. Ascending by
- * term.
+ * Start positions of the terms of a log: the first record of start[i].term is the one after
+ * start[i].lsn. Ascending by term.
  */
 struct term_history {
 	unsigned n;
 	struct pos start[TERM_HISTORY_MAX];
 };
 
-enum token_fate {
-	TOKEN_KEPT,    /**< the write is in the surviving log */
+enum token_status {
+	TOKEN_KEPT,    /**< the write is in the log */
 	TOKEN_LOST,    /**< a promotion discarded the write */
-	TOKEN_UNKNOWN, /**< nothing is known of the log's newest term */
+	TOKEN_UNKNOWN, /**< the start of the log's newest term is not known */
 };
 
-/** Most pools that one session's token names. */
+/** Maximum number of pools in a token set. */
 #define TOKEN_SET_MAX 16
 #define TOKEN_SET_SIZE (TOKEN_SET_MAX * TOKEN_SIZE + 2)
 
 /**
- * A session's writes in several pools. Text form: tokens joined by ",", and "+" at the end for
- * writes left out.
+ * The tokens of a session, one per pool. Text form: tokens joined by ",", with "+" at the end if
+ * tokens were left out.
  */
 struct token_set {
 	unsigned n;
@@ -50,26 +52,29 @@
 };
 
 /**
- * Parse a token's text; an empty one is the set without tokens. @return false, with @a s
- * untouched, for another text.
+ * Parses the text form of a token set; empty text is the empty set.
+ * @return false if the text is malformed; @a s is unchanged then
  */
 bool token_set_parse(const char *text, struct token_set *s);
-/** Write a set's text to @a buf of TOKEN_SET_SIZE bytes. */
+/** Writes the text form of a set to @a buf of TOKEN_SET_SIZE bytes. */
 void token_set_format(const struct token_set *s, char *buf);
-/** The session's position in @a pool; term 0 for none. */
+/** @return the session's position in @a pool; term 0 if there is none */
 struct pos token_set_find(const struct token_set *s, const char *pool);
-/** Note a write in @a pool. Positions only rise. */
+/** Records a write in @a pool. A lower position than the recorded one is ignored. */
 void token_set_advance(struct token_set *s, const char *pool, struct pos pos);
-/** Forget @a pool, whose write is known to be lost. */
+/** Removes @a pool, whose write is known to be lost. */
 void token_set_remove(struct token_set *s, const char *pool);
 
-/** Whether the write at @a pos is still in the log whose terms began as @a h tells. */
-enum token_fate token_fate(struct pos pos, const struct term_history *h);
+/** Checks whether the write at @a pos is in the log with term history @a h. */
+enum token_status token_status(struct pos pos, const struct term_history *h);
 
-/** The same in a log that has records of @a term, of which @a h may not have heard yet. */
-enum token_fate token_fate_in(struct pos pos, uint64_t term, const struct term_history *h);
+/**
+ * Checks whether the write at @a pos is in a log that has records of @a term; the term history @a h
+ * of that log may be outdated and lack @a term.
+ */
+enum token_status token_status_in_term(struct pos pos, uint64_t term, const struct term_history *h);
 
-/** Note in @a h that @a term began after @a lsn; the oldest entry makes room. */
+/** Adds to @a h that @a term starts after @a lsn; drops the oldest entry if @a h is full. */
 void term_history_add(struct term_history *h, uint64_t term, uint64_t lsn);
 
 #endif
--- a/decide/types.h
+++ b/decide/types.h
@@ -1,7 +1,8 @@
 /**
  * @file types.h
- * Types that every decision module shares. Nothing here does I/O or reads a clock: times are
- * monotonic microseconds handed in by the caller.
+ * Types shared by the decision modules. A decision module does no I/O and reads no clock: times are
+ * monotonic microseconds passed in by the caller. A member is a database server of a group; a data
+ * centre is a site that holds several VMs; a pool is a database group as configured.
  */
 #ifndef DECIDE_TYPES_H
 #define DECIDE_TYPES_H
@@ -11,11 +12,11 @@
 #include <stdint.h>
 #include <sys/queue.h>
 
-/** Longest name of a team, pool, database member, VM or data centre, with its end byte. */
+/** Size of the name of a team, pool, member, VM or data centre, with the terminating NUL. */
 #define NAME_SIZE 64
-/** Longest "ip:port", with its end byte. */
+/** Size of an "ip:port" string, with the terminating NUL. */
 #define ADDRESS_SIZE 64
-/** Most members that one database group may have. */
+/** Maximum number of members of a database group. */
 #define GROUP_MEMBERS_MAX 7
 
 #define USEC_PER_MSEC INT64_C(1000)
@@ -27,13 +28,13 @@
 	     (var) = (next))
 #endif
 
-/** A place in a database group's log: the term that wrote the record, and the record's number. */
+/** Log position: the term in which the record was written, and the record's number (LSN). */
 struct pos {
 	uint64_t term;
 	uint64_t lsn;
 };
 
-/** Order of two positions; a higher term wins. Negative, zero or positive, as in strcmp(). */
+/** Compares two log positions, by term first. Negative, zero or positive, as with strcmp(). */
 static inline int pos_cmp(struct pos a, struct pos b)
 {
 	if (a.term != b.term)
--- a/src/entry.c
+++ b/src/entry.c
@@ -194,7 +194,7 @@
 	if (p == NULL)
 		return;
 	if (res != NULL && res->primary[0] != '\0')
-		route_learn_primary(&p->view, res->primary, res->primary_term);
+		route_update_primary(&p->view, res->primary, res->primary_term);
 	i = route_find(&p->view, r->member);
 	if (i < 0)
 		return;
--- a/src/fleet-store.c
+++ b/src/fleet-store.c
@@ -200,7 +200,7 @@
 	store_source.n_lists++;
 	source_publish();
 	if (!store_source.initial_list_done && store_source.f->oldest_era < store_source.era.now)
-		era_unsettle(&store_source.era, now_us());
+		era_mark_unsettled(&store_source.era, now_us());
 	source_notify_pending();
 	if (!store_source.initial_list_done && list_is_too_old() &&
 	    store_source.n_lists <= INITIAL_LIST_RETRIES) {
--- a/src/home-ask.c
+++ b/src/home-ask.c
@@ -43,10 +43,10 @@
 	 */
 	w->ask[i].asked_us = 0;
 	if (now - w->ask[i].failing_since_us < CUT_AFTER_US ||
-	    m->view.member[i].state == MEMBER_CUT)
+	    m->view.member[i].state == MEMBER_HOME_UNREACHABLE)
 		return;
 	log_warn("member-cut", LOG_STR("pool", m->pool), LOG_STR("member", m->view.member[i].name));
-	watch_unreachable(w, i, MEMBER_CUT);
+	watch_unreachable(w, i, MEMBER_HOME_UNREACHABLE);
 	home_confirm_check(m);
 }
 
@@ -144,7 +144,7 @@
 {
 	struct home_member *m = w->m;
 	int primary = group_primary(&m->view);
-	bool settling = primary == m->self && group_settled(&m->view) != m->self;
+	bool settling = primary == m->self && group_settled_primary(&m->view) != m->self;
 	unsigned i;
 
 	for (i = 0; i < m->view.n; i++) {
--- a/src/home-commit-status.c
+++ b/src/home-commit-status.c
@@ -117,7 +117,8 @@
 	 * become wrong.
 	 */
 	if (m == NULL || !home_accepts_writes(m) ||
-	    (strcmp(q->args->former, q->args->member) != 0 && group_settled(&m->view) != m->self)) {
+	    (strcmp(q->args->former, q->args->member) != 0 &&
+	     group_settled_primary(&m->view) != m->self)) {
 		status_query_end(q, COMMIT_STATUS_UNKNOWN, (struct pos){0});
 		return;
 	}
--- a/src/home-confirm.c
+++ b/src/home-confirm.c
@@ -32,7 +32,7 @@
 		    now - v->reported_us < REPORT_AGE_MAX_US)
 			able++;
 	}
-	return able >= confirm_needed(m->view.n);
+	return able >= confirm_replicas_needed(m->view.n);
 }
 
 /** Returns how many replicas have the job's commit. */
@@ -64,7 +64,7 @@
 /** Answers the job if its commit is confirmed or lost. */
 static void confirm_evaluate(struct home_job *job)
 {
-	if (count_replicas(job) >= confirm_needed(job->m->view.n)) {
+	if (count_replicas(job) >= confirm_replicas_needed(job->m->view.n)) {
 		stat_add(STAT_CONFIRMS, 1);
 		confirm_end(job, OUTCOME_DONE);
 		return;
@@ -121,7 +121,7 @@
 	struct home_member *m = job->m;
 
 	job->step = JOB_CONFIRM;
-	if (m->confirm == CONFIRM_PRIMARY || confirm_needed(m->view.n) == 0) {
+	if (m->confirm == CONFIRM_PRIMARY || confirm_replicas_needed(m->view.n) == 0) {
 		home_job_end(job, OUTCOME_DONE, 0);
 		return;
 	}
--- a/src/home-failover.c
+++ b/src/home-failover.c
@@ -74,8 +74,8 @@
 	args.promote = promote;
 	args.term = term;
 	args.upstream = (char *)upstream;
-	rpc_start(rpc_of(w->m->home->service.kernel), address, ML_ORDER, &args, FAILOVER_PHASE_US,
-		  order_done, o);
+	rpc_start(rpc_of(w->m->home->service.kernel), address, ML_ORDER, &args,
+		  FAILOVER_PHASE_TIMEOUT_US, order_done, o);
 }
 
 static void failover_act(struct home_watch *w, struct failover_order o)
@@ -254,6 +254,7 @@
 		order_query_end(q, &none);
 		return;
 	}
-	kernel_arm(q->timer, FAILOVER_PHASE_US);
-	q->db = db_libpq_ops.open(k, m->conf.address, m->pool, FAILOVER_PHASE_US, order_opened, q);
+	kernel_arm(q->timer, FAILOVER_PHASE_TIMEOUT_US);
+	q->db = db_libpq_ops.open(k, m->conf.address, m->pool, FAILOVER_PHASE_TIMEOUT_US,
+				  order_opened, q);
 }
--- a/src/home-job.c
+++ b/src/home-job.c
@@ -59,7 +59,7 @@
 	struct home_member *m = job->m;
 
 	m->running--;
-	fairq_served(&m->queue, now_us() - job->started_us);
+	fairq_record_service(&m->queue, now_us() - job->started_us);
 	event_active(m->dispatch, EV_TIMEOUT, 0);
 }
 
@@ -195,7 +195,7 @@
 	const ml_exec_args *a = job->args;
 	struct pos token = {a->token.term, a->token.lsn};
 	const struct member_report *own = &m->view.member[m->self].report;
-	enum token_fate status;
+	enum token_status status;
 
 	job->age_us = 0;
 	if (!a->as_replica)
@@ -208,7 +208,7 @@
 		 */
 		if (res->pos.term < token.term || res->pos.lsn < token.lsn)
 			return OUTCOME_BEHIND;
-		status = token_fate_in(token, res->pos.term, &own->terms);
+		status = token_status_in_term(token, res->pos.term, &own->terms);
 		if (status == TOKEN_LOST)
 			return OUTCOME_TOKEN_LOST;
 		/* The read is retried until a probe has fetched this member's term history. */
--- a/src/home-queue.c
+++ b/src/home-queue.c
@@ -120,7 +120,7 @@
 	if (a->token.term != 0) {
 		struct pos token = {a->token.term, a->token.lsn};
 
-		if (token_fate(token, &m->view.member[m->self].report.terms) == TOKEN_LOST)
+		if (token_status(token, &m->view.member[m->self].report.terms) == TOKEN_LOST)
 			return OUTCOME_TOKEN_LOST;
 	}
 	/* A write that no replica could confirm would end with an unknown outcome. */
--- a/src/owner-change.c
+++ b/src/owner-change.c
@@ -92,7 +92,7 @@
 static void report_discarded_commits(struct owner_group *g, const struct owner_member *m)
 {
 	struct succession s = g->succession;
-	uint64_t n = succession_settle(&g->succession, m->observed.received);
+	uint64_t n = succession_complete(&g->succession, m->observed.received);
 
 	if (n == 0)
 		return;
@@ -238,7 +238,7 @@
 {
 	if (g->planned)
 		return false;
-	switch (succession_judge(&g->succession, now)) {
+	switch (succession_judge_primary(&g->succession, now)) {
 	case SUCCESSION_CHOOSE:
 		return false;
 	case SUCCESSION_HAND_BACK:
--- a/src/owner-choose.c
+++ b/src/owner-choose.c
@@ -46,7 +46,7 @@
 	const char *names[GROUP_MEMBERS_MAX];
 
 	choose_candidates(g, c, names, now, CHANGE_PROBE_FRESH_US);
-	return lead_find(&g->record, names, c, g->n);
+	return lead_find_primary(&g->record, names, c, g->n);
 }
 
 int choose_successor(const struct owner_group *g, int64_t now, int64_t fresh_us)
@@ -55,7 +55,7 @@
 	const char *names[GROUP_MEMBERS_MAX];
 
 	choose_candidates(g, c, names, now, fresh_us);
-	return lead_choose(c, g->n, g->primary);
+	return lead_choose_successor(c, g->n, g->primary);
 }
 
 /* Reverting a choice */
@@ -109,7 +109,7 @@
 	if (!g->undo.possible || g->planned || g->record_busy)
 		return false;
 	choose_candidates(g, c, names, now, CHANGE_PROBE_FRESH_US);
-	returned = lead_find(&r, names, c, g->n);
+	returned = lead_find_primary(&r, names, c, g->n);
 	if (returned < 0 || conf_member_leaves(&g->member[returned].conf) ||
 	    g->member[returned].observed_us <= g->chosen_us)
 		return false;
@@ -266,7 +266,7 @@
 	if (current < 0 || g->record.target[0] == '\0')
 		return false;
 	c[current].leaving = true;
-	next = lead_choose(c, g->n, g->excluded);
+	next = lead_choose_successor(c, g->n, g->excluded);
 	return next >= 0 && now - g->state_us < CATCH_UP_ALIVE_TIMEOUT_US &&
 	       pos_cmp(c[next].received, c[current].received) < 0;
 }
@@ -326,7 +326,7 @@
 	if (!all_probed(g) && now - g->state_us < CHOOSE_TIMEOUT_US)
 		return;
 	choose_candidates(g, c, names, now, CHANGE_PROBE_FRESH_US);
-	best = lead_find(&g->record, names, c, g->n);
+	best = lead_find_primary(&g->record, names, c, g->n);
 	if (best >= 0) {
 		resume_primary(g, best);
 		return;
@@ -336,7 +336,7 @@
 		highest = MAX(highest, c[current].term);
 	if (skip_current_primary(g, c, current, now))
 		return;
-	best = lead_choose(c, g->n, g->excluded);
+	best = lead_choose_successor(c, g->n, g->excluded);
 	if (best < 0 && g->excluded >= 0) {
 		g->excluded = -1;
 		return;
--- a/src/owner-claim.c
+++ b/src/owner-claim.c
@@ -536,7 +536,7 @@
 					      .heard_us = m != NULL ? m->last_answer_us : 0};
 
 		fill_primary(g, &res, now);
-		res.stopped = !succession_goes_on(&s, now);
+		res.stopped = !succession_may_continue(&s, now);
 		if (res.stopped)
 			claim_stop(g, "asked");
 		else
--- a/src/owner-job.c
+++ b/src/owner-job.c
@@ -236,10 +236,10 @@
 	const struct marks *marks = &job->g->marks;
 	struct pos own = {0};
 
-	if (!marks_need(marks, job->received_us - (int64_t)a->max_age_us, need))
+	if (!marks_required(marks, job->received_us - (int64_t)a->max_age_us, need))
 		return false;
 	if (a->mode == READ_SESSION)
-		own = marks_own(marks, (struct pos){a->session.term, a->session.lsn});
+		own = marks_in_current_term(marks, (struct pos){a->session.term, a->session.lsn});
 	if (pos_cmp(own, *need) > 0)
 		*need = own;
 	return true;
@@ -553,7 +553,7 @@
 	if (job->step == OWNER_STATEMENT && job->tx == NULL)
 		stat_time(STAT_TIME_QUEUE, job->sent_us - job->received_us);
 	m->service_us += SERVICE_ALPHA * ((double)(now - job->sent_us) - m->service_us);
-	fairq_served(queue_of(job), now - job->sent_us);
+	fairq_record_service(queue_of(job), now - job->sent_us);
 	if (!is_trusted(job)) {
 		job_lost(job, "not-believable");
 		return;
--- a/src/owner-queue.c
+++ b/src/owner-queue.c
@@ -431,7 +431,7 @@
 		return OUTCOME_LEAVING;
 	if (now - g->marks.newest.asked_us > MARK_MAX_AGE_US)
 		claim_ask_mark(g, now);
-	if (needs_primary(a) || !marks_need(&g->marks, now - (int64_t)a->max_age_us, &need))
+	if (needs_primary(a) || !marks_required(&g->marks, now - (int64_t)a->max_age_us, &need))
 		return OUTCOME_NOT_SENT;
 	if (a->reader == READER_LOCAL && reader_busy(g))
 		return OUTCOME_QUEUE_FULL;
@@ -459,7 +459,7 @@
 		return OUTCOME_LEAVING;
 	if (!owner_group_may_send(g))
 		return OUTCOME_NO_CONNECTION;
-	if (!needs_primary(a) && marks_need(&g->marks, now - (int64_t)a->max_age_us, &need))
+	if (!needs_primary(a) && marks_required(&g->marks, now - (int64_t)a->max_age_us, &need))
 		return OUTCOME_DONE;
 	*retry_after_us = owner_group_expected_wait_us(g, now);
 	/*
--- a/src/owner-record.c
+++ b/src/owner-record.c
@@ -150,7 +150,7 @@
 	bool was_recovered = g->recovered;
 
 	g->record = *r;
-	g->recovered = lead_recover(&g->record, &known);
+	g->recovered = lead_recover_choice(&g->record, &known);
 	if (!g->recovered || was_recovered)
 		return;
 	g->recover_at_us = now_us() + (g->state > OWNER_CLAIMING ? 0 : RECOVER_PAUSE_US);
--- a/src/owner-watch.c
+++ b/src/owner-watch.c
@@ -388,10 +388,10 @@
 				  .refused = m->refused,
 				  .others_asked = g->others_asked &&
 						  now - g->others_asked_us < REACH_FRESH_US};
-	switch (lead_judge(&s, now)) {
-	case LEAD_FINE:
+	switch (lead_judge_primary(&s, now)) {
+	case LEAD_HEALTHY:
 		return;
-	case LEAD_ASK:
+	case LEAD_ASK_OTHERS:
 		if (g->others_pending == 0 || now - g->others_asked_us > REACH_FRESH_US)
 			reach_ask(g, now);
 		return;
--- a/src/owner.c
+++ b/src/owner.c
@@ -382,7 +382,7 @@
 	struct pos need;
 
 	return g != NULL && g->configured && g->state <= OWNER_CLAIMING &&
-	       marks_need(&g->marks, now_us() - max_age_us, &need);
+	       marks_required(&g->marks, now_us() - max_age_us, &need);
 }
 
 void owner_note_newer_record(struct owner *o, const char *pool, const char *vm, const char *address,
--- a/src/session-leave.c
+++ b/src/session-leave.c
@@ -33,7 +33,7 @@
 	case OUTCOME_DONE:
 		/* A read that a replica served is not counted: other VMs would serve it too. */
 		if (s->reader == READER_OWNER && s->address[0] != '\0')
-			ready_note(&s->sessions->ready, true);
+			ready_count(&s->sessions->ready, true);
 		return;
 	case OUTCOME_NOT_PRIMARY:
 	case OUTCOME_BEHIND:
@@ -43,7 +43,7 @@
 	case OUTCOME_LEAVING:
 	case OUTCOME_LOST:
 	case OUTCOME_TX_LOST:
-		ready_note(&s->sessions->ready, false);
+		ready_count(&s->sessions->ready, false);
 		return;
 	default:
 		return;
@@ -87,7 +87,7 @@
 	unsigned served = all->ready.served, unserved = all->ready.unserved;
 	int64_t contact_us = last_contact_us(all, now);
 
-	ready_judge(&all->ready, contact_us, now);
+	ready_update(&all->ready, contact_us, now);
 	if (all->ready.away != was_away)
 		log_warn("callers", LOG_STR("state", all->ready.away ? "sent away" : "taken"),
 			 LOG_NUM("heard_ms", (now - contact_us) / USEC_PER_MSEC),
--- a/tests/test-change.c
+++ b/tests/test-change.c
@@ -31,12 +31,12 @@
 	struct succession s = {0};
 
 	succession_begin(&s, t0);
-	CU_ASSERT_EQUAL(succession_judge(&s, t0 + 1000 * ms), SUCCESSION_CHOOSE);
+	CU_ASSERT_EQUAL(succession_judge_primary(&s, t0 + 1000 * ms), SUCCESSION_CHOOSE);
 	succession_report(&s, &r, t0 + 1000 * ms);
-	CU_ASSERT_EQUAL(succession_judge(&s, t0 + 1000 * ms), SUCCESSION_WAIT);
+	CU_ASSERT_EQUAL(succession_judge_primary(&s, t0 + 1000 * ms), SUCCESSION_WAIT);
 	r.heard_us = t0 + 1590 * ms;
 	succession_report(&s, &r, t0 + 1600 * ms);
-	CU_ASSERT_EQUAL(succession_judge(&s, t0 + 1700 * ms), SUCCESSION_HAND_BACK);
+	CU_ASSERT_EQUAL(succession_judge_primary(&s, t0 + 1700 * ms), SUCCESSION_HAND_BACK);
 	CU_ASSERT_STRING_EQUAL(s.vm, "vm-9");
 }
 
@@ -53,13 +53,13 @@
 
 	succession_begin(&s, t0);
 	succession_report(&s, &r, t0 + 5 * ms);
-	CU_ASSERT_EQUAL(succession_judge(&s, t0 + 5 * ms), SUCCESSION_CHOOSE);
+	CU_ASSERT_EQUAL(succession_judge_primary(&s, t0 + 5 * ms), SUCCESSION_CHOOSE);
 	sender.quiet_us = 5 * ms;
-	CU_ASSERT_FALSE(succession_goes_on(&sender, t0 + 5 * ms));
+	CU_ASSERT_FALSE(succession_may_continue(&sender, t0 + 5 * ms));
 	sender.quiet_us = 2000 * ms;
-	CU_ASSERT_TRUE(succession_goes_on(&sender, t0 + 5 * ms));
+	CU_ASSERT_TRUE(succession_may_continue(&sender, t0 + 5 * ms));
 	sender.quiet_us = 0;
-	CU_ASSERT_FALSE(succession_goes_on(&sender, t0 + 5 * ms));
+	CU_ASSERT_FALSE(succession_may_continue(&sender, t0 + 5 * ms));
 }
 
 /*
@@ -81,8 +81,8 @@
 	c.may_gain = true;
 	c.waited_us = 2 * USEC_PER_SEC;
 	CU_ASSERT_FALSE(succession_choice_waits(&s, &c));
-	CU_ASSERT_EQUAL(succession_settle(&s, (struct pos){2, 30}), 10);
-	CU_ASSERT_EQUAL(succession_settle(&s, (struct pos){3, 20}), 0);
+	CU_ASSERT_EQUAL(succession_complete(&s, (struct pos){2, 30}), 10);
+	CU_ASSERT_EQUAL(succession_complete(&s, (struct pos){3, 20}), 0);
 }
 
 /*
@@ -176,7 +176,7 @@
 		return;
 	}
 	res.heard_age_us = (u_quad_t)(model.now - model.last_contact_us);
-	res.stopped = !succession_goes_on(&s, model.now);
+	res.stopped = !succession_may_continue(&s, model.now);
 	model.stopped = model.stopped || res.stopped;
 	rpc_reply(rq, &res);
 }
--- a/tests/test-failover.c
+++ b/tests/test-failover.c
@@ -1,5 +1,6 @@
 /**
- * @file test-failover.c The promoter, alone and against another one, with lost orders and answers.
+ * @file test-failover.c The promoter's state machine, alone and with a competing promoter, with
+ * lost orders and answers.
  */
 #include "failover.h"
 #include "harness.h"
@@ -7,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define START (10 * USEC_PER_SEC)
+#define START_US (10 * USEC_PER_SEC)
 
 static struct member_report report(bool primary, uint64_t seen, uint64_t term, uint64_t lsn)
 {
@@ -16,7 +17,7 @@
 	return r;
 }
 
-static struct group_view led_by_a(void)
+static struct group_view group_with_primary_a(void)
 {
 	const char *names[] = {"a", "b", "c"};
 	struct member_report a = report(true, 1, 1, 10), b = report(false, 1, 1, 9),
@@ -25,22 +26,22 @@
 
 	group_init(&g, "pool");
 	group_set_members(&g, names, 3);
-	group_report(&g, 0, &a, START);
-	group_report(&g, 1, &b, START);
-	group_report(&g, 2, &c, START);
+	group_report(&g, 0, &a, START_US);
+	group_report(&g, 1, &b, START_US);
+	group_report(&g, 2, &c, START_US);
 	return g;
 }
 
-static void test_leaves_a_led_group_alone(void)
+static void test_no_failover_while_the_primary_is_up(void)
 {
-	struct group_view g = led_by_a();
+	struct group_view g = group_with_primary_a();
 	struct failover f = {0};
 
-	CU_ASSERT_EQUAL(failover_tick(&f, &g, 0, 1, START + 5 * USEC_PER_SEC).act,
+	CU_ASSERT_EQUAL(failover_tick(&f, &g, 0, 1, START_US + 5 * USEC_PER_SEC).act,
 			FAILOVER_NOTHING);
 }
 
-static void test_knows_nothing_does_nothing(void)
+static void test_no_failover_before_the_first_report(void)
 {
 	const char *names[] = {"a", "b", "c"};
 	struct failover f = {0};
@@ -48,26 +49,29 @@
 
 	group_init(&g, "pool");
 	group_set_members(&g, names, 3);
-	CU_ASSERT_EQUAL(failover_tick(&f, &g, 0, 1, START).act, FAILOVER_NOTHING);
+	CU_ASSERT_EQUAL(failover_tick(&f, &g, 0, 1, START_US).act, FAILOVER_NOTHING);
 }
 
-/* The primary is down: fence everyone, promote the highest log of a majority, attach the rest. */
+/*
+ * A primary goes down: the promoter fences every member, promotes the newest log of a majority, and
+ * attaches the other members to the new primary.
+ */
 static void test_promotes_highest_log(void)
 {
-	struct group_view g = led_by_a();
+	struct group_view g = group_with_primary_a();
 	struct failover f = {0};
 	struct failover_order o;
-	int64_t now = START;
+	int64_t now = START_US;
 
 	group_unreachable(&g, 0, MEMBER_DOWN, now);
 	CU_ASSERT_EQUAL(failover_tick(&f, &g, 0, 1, now).act, FAILOVER_NOTHING);
-	now += FAILOVER_PATIENCE_US;
+	now += FAILOVER_DOWN_TIMEOUT_US;
 	o = failover_tick(&f, &g, 0, 1, now);
 	CU_ASSERT_EQUAL(o.act, FAILOVER_FENCE);
 	CU_ASSERT_EQUAL(o.term, 2);
 	CU_ASSERT_EQUAL(failover_fenced(&f, &g, 1, 2, true, (struct pos){1, 9}, now).act,
 			FAILOVER_NOTHING);
-	/* The same answer twice is one pledge. */
+	/* A repeated answer counts as one pledge. */
 	CU_ASSERT_EQUAL(failover_fenced(&f, &g, 1, 2, true, (struct pos){1, 9}, now).act,
 			FAILOVER_NOTHING);
 	o = failover_fenced(&f, &g, 2, 2, true, (struct pos){1, 10}, now);
@@ -79,16 +83,16 @@
 }
 
 /*
- * Its view still shows the dead primary: the promoter must not depose the one that it has just
- * made.
+ * Guards against a promoter that fences the primary it has just promoted, because its view still
+ * shows the failed one until the first report of the new primary.
  */
-static void test_rests_after_a_change(void)
+static void test_no_failover_before_the_new_primary_reports(void)
 {
-	struct group_view g = led_by_a();
+	struct group_view g = group_with_primary_a();
 	struct failover f = {0};
-	int64_t now = START + FAILOVER_PATIENCE_US;
+	int64_t now = START_US + FAILOVER_DOWN_TIMEOUT_US;
 
-	group_unreachable(&g, 0, MEMBER_DOWN, START);
+	group_unreachable(&g, 0, MEMBER_DOWN, START_US);
 	failover_tick(&f, &g, 0, 1, now);
 	failover_fenced(&f, &g, 1, 2, true, (struct pos){1, 9}, now);
 	failover_fenced(&f, &g, 2, 2, true, (struct pos){1, 10}, now);
@@ -97,16 +101,16 @@
 			FAILOVER_NOTHING);
 }
 
-static void test_late_answers_say_nothing(void)
+static void test_late_answers_are_ignored(void)
 {
-	struct group_view g = led_by_a();
+	struct group_view g = group_with_primary_a();
 	struct failover f = {0};
-	int64_t now = START + FAILOVER_PATIENCE_US;
+	int64_t now = START_US + FAILOVER_DOWN_TIMEOUT_US;
 
-	group_unreachable(&g, 0, MEMBER_DOWN, START);
+	group_unreachable(&g, 0, MEMBER_DOWN, START_US);
 	failover_tick(&f, &g, 0, 1, now);
-	failover_tick(&f, &g, 0, 1, now + FAILOVER_PHASE_US + 1);
-	now += 2 * FAILOVER_PHASE_US;
+	failover_tick(&f, &g, 0, 1, now + FAILOVER_PHASE_TIMEOUT_US + 1);
+	now += 2 * FAILOVER_PHASE_TIMEOUT_US;
 	CU_ASSERT_EQUAL(failover_tick(&f, &g, 0, 1, now).term, 3);
 	CU_ASSERT_EQUAL(failover_fenced(&f, &g, 1, 2, true, (struct pos){1, 9}, now).act,
 			FAILOVER_NOTHING);
@@ -117,17 +121,17 @@
 
 static void test_second_promoter_waits(void)
 {
-	struct group_view g = led_by_a();
+	struct group_view g = group_with_primary_a();
 	struct failover f = {0};
 
-	group_unreachable(&g, 0, MEMBER_DOWN, START);
-	CU_ASSERT_EQUAL(failover_tick(&f, &g, 1, 1, START + FAILOVER_PATIENCE_US).act,
+	group_unreachable(&g, 0, MEMBER_DOWN, START_US);
+	CU_ASSERT_EQUAL(failover_tick(&f, &g, 1, 1, START_US + FAILOVER_DOWN_TIMEOUT_US).act,
 			FAILOVER_NOTHING);
-	CU_ASSERT_EQUAL(failover_tick(&f, &g, 1, 1, START + FAILOVER_PATIENCE_US * 5).act,
+	CU_ASSERT_EQUAL(failover_tick(&f, &g, 1, 1, START_US + FAILOVER_DOWN_TIMEOUT_US * 5).act,
 			FAILOVER_FENCE);
 }
 
-/* A member as the orders see it: what the databases promise. */
+/* Model of a member: how a database must react to orders. */
 struct member {
 	uint64_t seen;
 	bool primary;
@@ -159,7 +163,7 @@
 	return m->len > 0 ? m->log[m->len - 1] : (struct pos){0};
 }
 
-/** The leader of @a term sends its log to @a to. */
+/** Copies the log of primary @a from to @a to if both are in the same term. */
 static void replicate(const struct member *from, struct member *to)
 {
 	if (!from->primary || to->seen != from->seen || to->primary)
@@ -169,22 +173,22 @@
 }
 
 /*
- * Random rounds: writes on whoever leads, replication to some, acknowledgement by majority, and two
- * promoters whose orders and answers get lost at random. An acknowledged record must be in the log
- * of every later leader.
+ * Random steps: writes on every primary, replication to some members, acknowledgement by majority,
+ * and two promoters whose orders and answers are lost at random. An acknowledged record must be in
+ * the log of every later primary.
  */
 static void random_run(unsigned seed)
 {
 	struct pos acked[400];
 	unsigned n_acked = 0, step, i, j;
 	struct member m[3] = {{.seen = 1}, {.seen = 1}, {.seen = 1}};
-	struct group_view g = led_by_a();
+	struct group_view g = group_with_primary_a();
 	struct failover f[2] = {{0}, {0}};
-	int64_t now = START;
+	int64_t now = START_US;
 
 	srand(seed);
 	member_promote(&m[0], 1);
-	group_unreachable(&g, 0, MEMBER_DOWN, START);
+	group_unreachable(&g, 0, MEMBER_DOWN, START_US);
 	for (step = 0; step < 300; step++) {
 		struct failover *p = &f[rand() % 2];
 		struct failover_order o = {0};
@@ -240,21 +244,21 @@
 				const struct pos *at = &m[i].log[acked[j].lsn - 1];
 
 				/*
-				 * A leader of an earlier term, not fenced yet, acknowledges nothing
-				 * any more.
+				 * A primary of an earlier term that is not fenced yet cannot get
+				 * further writes acknowledged.
 				 */
 				if (acked[j].term > m[i].seen ||
 				    (acked[j].lsn <= m[i].len && at->term == acked[j].term))
 					continue;
-				CHECK(false, "seed %u step %u: leader of %lu lacks %lu/%lu", seed,
-				      step, m[i].seen, acked[j].term, acked[j].lsn);
+				CHECK(false, "seed %u step %u: primary of term %lu lacks %lu/%lu",
+				      seed, step, m[i].seen, acked[j].term, acked[j].lsn);
 				return;
 			}
 		}
 	}
 }
 
-static void test_acknowledged_writes_last(void)
+static void test_acknowledged_writes_survive_failovers(void)
 {
 	unsigned seed;
 
@@ -263,12 +267,13 @@
 }
 
 static const struct test_case cases[] = {
-	{"leaves_a_led_group_alone", test_leaves_a_led_group_alone},
-	{"knows_nothing_does_nothing", test_knows_nothing_does_nothing},
+	{"no_failover_while_the_primary_is_up", test_no_failover_while_the_primary_is_up},
+	{"no_failover_before_the_first_report", test_no_failover_before_the_first_report},
 	{"promotes_highest_log", test_promotes_highest_log},
-	{"rests_after_a_change", test_rests_after_a_change},
-	{"late_answers_say_nothing", test_late_answers_say_nothing},
+	{"no_failover_before_the_new_primary_reports",
+	 test_no_failover_before_the_new_primary_reports},
+	{"late_answers_are_ignored", test_late_answers_are_ignored},
 	{"second_promoter_waits", test_second_promoter_waits},
-	{"acknowledged_writes_last", test_acknowledged_writes_last},
+	{"acknowledged_writes_survive_failovers", test_acknowledged_writes_survive_failovers},
 };
 HARNESS_MAIN("failover", cases)
--- a/tests/test-fairq.c
+++ b/tests/test-fairq.c
@@ -1,11 +1,11 @@
-/** @file test-fairq.c The queue in front of a member. */
+/** @file test-fairq.c The request queue of a member. */
 #include "fairq.h"
 #include "harness.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define FAR (1000 * USEC_PER_SEC)
+#define FAR_DEADLINE_US (1000 * USEC_PER_SEC)
 
 struct waiting {
 	struct fairq_item item;
@@ -26,7 +26,7 @@
 	return o;
 }
 
-/** Take the next; @return its team's first letter, or 0. */
+/** Removes the next item. @return the first letter of its team's name, or 0 */
 static char next(struct fairq *q)
 {
 	struct waiting *w = (struct waiting *)fairq_next(q);
@@ -54,8 +54,8 @@
 
 	fairq_init(&q, 1000, 2);
 	for (i = 0; i < 200; i++) {
-		add(&q, "big", 300, FAR, 0);
-		add(&q, "small", 100, FAR, 0);
+		add(&q, "big", 300, FAR_DEADLINE_US, 0);
+		add(&q, "small", 100, FAR_DEADLINE_US, 0);
 	}
 	for (i = 0; i < 200; i++) {
 		if (next(&q) == 'b')
@@ -73,18 +73,18 @@
 	struct fairq q;
 
 	fairq_init(&q, 10, 1);
-	add(&q, "t", 1, FAR + 30, 0);
-	add(&q, "t", 1, FAR + 10, 0);
-	add(&q, "t", 1, FAR + 20, 0);
+	add(&q, "t", 1, FAR_DEADLINE_US + 30, 0);
+	add(&q, "t", 1, FAR_DEADLINE_US + 10, 0);
+	add(&q, "t", 1, FAR_DEADLINE_US + 20, 0);
 	first = fairq_next(&q);
-	CU_ASSERT_EQUAL(first->deadline_us, FAR + 10);
+	CU_ASSERT_EQUAL(first->deadline_us, FAR_DEADLINE_US + 10);
 	free(first);
 	drain(&q);
 }
 
 /*
- * Monday: one team sends far more than the queue holds. It is refused as full, at once; another
- * team that comes later still finds its part of the queue free.
+ * Guards against a team that sends more than the queue holds and fills it: its excess must be
+ * refused as full immediately, and another team must still get its share of the queue.
  */
 static void test_one_team_cannot_fill_the_queue(void)
 {
@@ -93,18 +93,19 @@
 	int i;
 
 	fairq_init(&q, 100, 2);
-	add(&q, "quiet", 100, FAR, 0);
+	add(&q, "quiet", 100, FAR_DEADLINE_US, 0);
 	for (i = 0; i < 500; i++)
-		refused += add(&q, "monday", 100, FAR, 0).verdict == FAIRQ_FULL;
+		refused += add(&q, "monday", 100, FAR_DEADLINE_US, 0).verdict == FAIRQ_FULL;
 	CHECK(refused >= 450, "%u", refused);
 	for (i = 0; i < 40; i++)
-		CHECK(add(&q, "quiet", 100, FAR, 0).verdict == FAIRQ_QUEUED, "at %d", i);
+		CHECK(add(&q, "quiet", 100, FAR_DEADLINE_US, 0).verdict == FAIRQ_QUEUED, "at %d",
+		      i);
 	drain(&q);
 }
 
 /*
- * A desk sends one tally now and then while another team has a backlog. Its tally goes next; but a
- * team that empties its queue again and again gets no more than its part by it.
+ * A request of a team that sends rarely must be served next although another team has a backlog. A
+ * team that empties its queue repeatedly must not get more than its share that way.
  */
 static void test_sparse_team_goes_next(void)
 {
@@ -114,23 +115,23 @@
 
 	fairq_init(&q, 1000, 2);
 	for (i = 0; i < 400; i++)
-		add(&q, "monday", 300, FAR, 0);
+		add(&q, "monday", 300, FAR_DEADLINE_US, 0);
 	for (i = 0; i < 10; i++) {
 		next(&q);
 		next(&q);
 		next(&q);
-		add(&q, "desk", 10, FAR, 0);
+		add(&q, "desk", 10, FAR_DEADLINE_US, 0);
 		CHECK(next(&q) == 'd', "round %d", i);
 	}
 	for (i = 0; i < 200; i++) {
-		add(&q, "often", 100, FAR, 0);
+		add(&q, "often", 100, FAR_DEADLINE_US, 0);
 		often += next(&q) == 'o';
 	}
 	CHECK(often <= 105, "%u of 200", often);
 	drain(&q);
 }
 
-/* A wait that passes the deadline is refused before it begins, with when to come back. */
+/* A request whose predicted wait exceeds its deadline is refused immediately, with a retry time. */
 static void test_refused_at_once_when_too_late(void)
 {
 	struct fairq_outcome o;
@@ -140,8 +141,8 @@
 	fairq_init(&q, 100, 1);
 	q.service_us = 10000;
 	for (i = 0; i < 20; i++)
-		add(&q, "t", 1, FAR + i, 0);
-	o = add(&q, "t", 1, 100000 + FAR * 0, 0);
+		add(&q, "t", 1, FAR_DEADLINE_US + i, 0);
+	o = add(&q, "t", 1, 100000 + FAR_DEADLINE_US * 0, 0);
 	CU_ASSERT_EQUAL(o.verdict, FAIRQ_QUEUED);
 	q.service_us = 200000;
 	o = add(&q, "t", 1, 100001, 0);
--- a/tests/test-group.c
+++ b/tests/test-group.c
@@ -1,4 +1,4 @@
-/** @file test-group.c Views of database groups, and acknowledgement by majority. */
+/** @file test-group.c A VM's view of a database group, and acknowledgement by majority. */
 #include "confirm.h"
 #include "group.h"
 #include "harness.h"
@@ -51,10 +51,10 @@
 }
 
 /*
- * The age is measured from when the primary was asked; a replica that has what it had then is no
- * older.
+ * The age of data counts from the time the primary's position was requested: a replica at that
+ * position has data that is no older.
  */
-static void test_age(void)
+static void test_age_of_data(void)
 {
 	struct group_view g = three();
 
@@ -64,7 +64,7 @@
 	CU_ASSERT_EQUAL(group_age_us(&g, 9, 1000), INT64_MAX);
 	CU_ASSERT_EQUAL(group_age_us(&g, 10, 1000), 900);
 	CU_ASSERT_EQUAL(group_age_us(&g, 25, 1000), 800);
-	/* Positions of the former term say nothing of the new primary's log. */
+	/* Positions of the previous term do not compare with those of the new primary's log. */
 	put(&g, 1, report(true, 2, 2, 15), 300);
 	CU_ASSERT_EQUAL(group_age_us(&g, 14, 1000), INT64_MAX);
 	CU_ASSERT_EQUAL(group_age_us(&g, 15, 1000), 700);
@@ -90,33 +90,33 @@
 	CU_ASSERT_EQUAL(confirm_replica(commit, &r), CONFIRM_YES);
 	r.received.lsn = 9;
 	CU_ASSERT_EQUAL(confirm_replica(commit, &r), CONFIRM_WAIT);
-	/* Pledged to a later term: it may have had the record only after another log was chosen. */
+	/* A replica in a later term may have got the record only after another log was chosen. */
 	r = report(false, 3, 2, 10);
 	CU_ASSERT_EQUAL(confirm_replica(commit, &r), CONFIRM_WAIT);
-	/* A log of an older term that is longer is another log. */
+	/* A longer log of an earlier term does not contain the record. */
 	r = report(false, 2, 1, 50);
 	CU_ASSERT_EQUAL(confirm_replica(commit, &r), CONFIRM_WAIT);
-	CU_ASSERT_EQUAL(confirm_needed(3), 1);
-	CU_ASSERT_EQUAL(confirm_needed(5), 2);
+	CU_ASSERT_EQUAL(confirm_replicas_needed(3), 1);
+	CU_ASSERT_EQUAL(confirm_replicas_needed(5), 2);
 }
 
 /*
- * The caller waits for a commit on a primary that was replaced. Only once the new term is on a
- * majority is it certain whether the record lasts: before, a third promotion could bring the former
- * primary's log back.
+ * A caller waits for a commit on a primary that was replaced. Whether the record is kept is certain
+ * only when a majority has records of the new term: before that, a third promotion could choose the
+ * previous primary's log.
  */
 static void test_confirm_by_later_primary(void)
 {
-	struct member_report led = report(true, 3, 3, 12);
+	struct member_report later = report(true, 3, 3, 12);
 	struct group_view g = three();
 
-	term_history_add(&led.terms, 3, 10);
+	term_history_add(&later.terms, 3, 10);
 	put(&g, 0, report(false, 1, 1, 11), 10);
-	put(&g, 1, led, 10);
+	put(&g, 1, later, 10);
 	CU_ASSERT_EQUAL(confirm_by_primary((struct pos){1, 10}, &g), CONFIRM_WAIT);
-	CU_ASSERT_EQUAL(group_settled(&g), -1);
+	CU_ASSERT_EQUAL(group_settled_primary(&g), -1);
 	put(&g, 2, report(false, 3, 3, 11), 10);
-	CU_ASSERT_EQUAL(group_settled(&g), 1);
+	CU_ASSERT_EQUAL(group_settled_primary(&g), 1);
 	CU_ASSERT_EQUAL(confirm_by_primary((struct pos){1, 10}, &g), CONFIRM_YES);
 	CU_ASSERT_EQUAL(confirm_by_primary((struct pos){1, 11}, &g), CONFIRM_LOST);
 }
@@ -124,7 +124,7 @@
 static const struct test_case cases[] = {
 	{"primary_of_highest_term", test_primary_of_highest_term},
 	{"late_report_changes_nothing", test_late_report_changes_nothing},
-	{"age", test_age},
+	{"age_of_data", test_age_of_data},
 	{"members_change", test_members_change},
 	{"confirm_by_replica", test_confirm_by_replica},
 	{"confirm_by_later_primary", test_confirm_by_later_primary},
--- a/tests/test-lead.c
+++ b/tests/test-lead.c
@@ -1,4 +1,4 @@
-/** @file test-lead.c Owners, senders and the choice of a primary. */
+/** @file test-lead.c Owners and senders of a group, and the choice of its primary. */
 #include "era.h"
 #include "harness.h"
 #include "lead.h"
@@ -15,7 +15,7 @@
 	return v;
 }
 
-static void test_a_claim_keeps_the_former_owner_as_sender(void)
+static void test_a_claim_lists_the_previous_owner_as_sender(void)
 {
 	struct lead_record r = {0};
 	struct lead_vm a = vm("a", 1), b = vm("b", 2), a2 = vm("a", 3);
@@ -25,17 +25,20 @@
 	CU_ASSERT_TRUE(lead_claim(&r, &b, "1.1.1.2:1", false));
 	CU_ASSERT_EQUAL(r.n, 1);
 	CU_ASSERT_TRUE(lead_vm_equal(&r.sender[0], &a));
-	/* The process of before has ended with its restart, and sends nothing any more. */
+	/* A restart has ended the previous process, so it is not listed as a sender. */
 	CU_ASSERT_TRUE(lead_claim(&r, &a2, "1.1.1.1:1", true));
 	CU_ASSERT_EQUAL(r.n, 1);
-	/* An owner that comes back is no sender besides. */
+	/* A sender that becomes the owner again is no longer listed as a sender. */
 	CU_ASSERT_TRUE(lead_claim(&r, &a, "1.1.1.1:1", false));
 	CU_ASSERT_EQUAL(r.n, 1);
 	CU_ASSERT_TRUE(lead_vm_equal(&r.sender[0], &a2));
 }
 
-/* A record that forgot a sender would let a primary be replaced under its statements. */
-static void test_a_full_record_takes_no_claim(void)
+/*
+ * Guards against a record that drops a sender: the primary could then be replaced while that VM
+ * still sends statements to it.
+ */
+static void test_a_claim_on_a_full_record_fails(void)
 {
 	struct lead_record r = {0};
 	unsigned i;
@@ -51,8 +54,8 @@
 }
 
 /*
- * A caller's write is acknowledged by a primary that was replaced and does not know it: the new one
- * discards it. A member leads only above the floor, and only if it is the one that was ordered.
+ * Guards against a write that is acknowledged by a replaced primary and discarded by the new one. A
+ * member is accepted as primary only with a term above the floor, and only if it is the target.
  */
 static void test_a_replaced_primary_is_not_found(void)
 {
@@ -64,17 +67,17 @@
 	};
 	struct lead_record r = {0};
 
-	CU_ASSERT_EQUAL(lead_find(&r, names, c, 3), 0);
+	CU_ASSERT_EQUAL(lead_find_primary(&r, names, c, 3), 0);
 	r.floor = 1;
 	snprintf(r.target, sizeof(r.target), "m2");
-	CU_ASSERT_EQUAL(lead_find(&r, names, c, 3), -1);
+	CU_ASSERT_EQUAL(lead_find_primary(&r, names, c, 3), -1);
 	c[1].primary = true;
 	c[1].term = 2;
-	CU_ASSERT_EQUAL(lead_find(&r, names, c, 3), 1);
-	/* An earlier choice whose promotion took effect late leads too, and is not the target. */
+	CU_ASSERT_EQUAL(lead_find_primary(&r, names, c, 3), 1);
+	/* A member promoted late, by an earlier choice, is not the target. */
 	c[2].primary = true;
 	c[2].term = 3;
-	CU_ASSERT_EQUAL(lead_find(&r, names, c, 3), 1);
+	CU_ASSERT_EQUAL(lead_find_primary(&r, names, c, 3), 1);
 }
 
 static void test_the_newest_log_is_chosen(void)
@@ -86,10 +89,10 @@
 		{.reached = false, .received = {2, 99}},
 	};
 
-	CU_ASSERT_EQUAL(lead_choose(c, 4, -1), 0);
-	CU_ASSERT_EQUAL(lead_choose(c, 4, 0), 1);
+	CU_ASSERT_EQUAL(lead_choose_successor(c, 4, -1), 0);
+	CU_ASSERT_EQUAL(lead_choose_successor(c, 4, 0), 1);
 	c[0].reached = c[1].reached = false;
-	CU_ASSERT_EQUAL(lead_choose(c, 4, -1), -1);
+	CU_ASSERT_EQUAL(lead_choose_successor(c, 4, -1), -1);
 }
 
 static void test_others_are_asked_before_a_silent_primary_is_replaced(void)
@@ -97,46 +100,46 @@
 	struct lead_silence s = {0};
 	const int64_t t0 = 1000000;
 
-	CU_ASSERT_EQUAL(lead_judge(&s, t0), LEAD_FINE);
+	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0), LEAD_HEALTHY);
 	s.unheard_us = t0;
-	CU_ASSERT_EQUAL(lead_judge(&s, t0 + 100 * USEC_PER_MSEC), LEAD_FINE);
-	CU_ASSERT_EQUAL(lead_judge(&s, t0 + 1000 * USEC_PER_MSEC), LEAD_ASK);
+	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0 + 100 * USEC_PER_MSEC), LEAD_HEALTHY);
+	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0 + 1000 * USEC_PER_MSEC), LEAD_ASK_OTHERS);
 	s.others_asked = true;
-	CU_ASSERT_EQUAL(lead_judge(&s, t0 + 1000 * USEC_PER_MSEC), LEAD_REPLACE);
+	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0 + 1000 * USEC_PER_MSEC), LEAD_REPLACE);
 	s = (struct lead_silence){.unheard_us = t0, .refused = true};
-	CU_ASSERT_EQUAL(lead_judge(&s, t0 + 100 * USEC_PER_MSEC), LEAD_ASK);
+	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0 + 100 * USEC_PER_MSEC), LEAD_ASK_OTHERS);
 }
 
-/* A model of owners, senders and promotions in any order of events. */
+/* Model of owners, senders and promotions with events in random order. */
 
 #define VMS 4
 #define MEMBERS 3
 #define LEASE 40
-/** VMs that hear of each write to the store. */
+/** Number of VMs that are notified of each write to the store. */
 #define WATCHERS 2
-/** Steps between copies of the store, and between times that it comes back from one. */
+/** Average number of steps between copies of the store, and between restores from a copy. */
 #define COPY_EVERY 25
 #define RESTORE_EVERY 150
 
 struct model_vm {
 	struct lead_vm id;
-	int64_t lease_until;	   /**< as the VM itself counts, from before its renewal */
-	int64_t store_until;	   /**< as the store counts */
-	struct lead_record record; /**< as the VM last read or wrote it */
+	int64_t lease_until;	   /**< lease end by the VM's clock, from before the renewal */
+	int64_t store_until;	   /**< lease end by the store's clock */
+	struct lead_record record; /**< last read or written by the VM */
 	uint64_t revision;
 	bool owns, yielded;
 	int primary; /**< member that it sends to, -1 for none */
 	uint64_t term;
-	unsigned fencing; /**< senders that it still waits for are in record */
+	unsigned fencing; /**< the senders it waits for are in record */
 	bool ordered;
-	bool to_read;	      /**< the record is to be read before a primary is believed */
-	struct era era;	      /**< as the VM knows it */
-	uint64_t lease_era;   /**< in which its lease was last renewed */
-	uint64_t key_era;     /**< that its key in the store tells */
-	uint64_t key_process; /**< incarnation that its key names */
+	bool to_read;	      /**< the record must be read before a primary is accepted */
+	struct era era;	      /**< the VM's view of the era */
+	uint64_t lease_era;   /**< era in which its lease was last renewed */
+	uint64_t key_era;     /**< era stored in its key */
+	uint64_t key_process; /**< incarnation stored in its key */
 };
 
-/** What the store holds. */
+/** Contents of the store. */
 struct model_store {
 	struct lead_record record;
 	uint64_t revision;
@@ -145,18 +148,18 @@
 };
 
 struct model {
-	bool restores; /**< the store comes back from older copies */
+	bool restores; /**< the store is restored from older copies at random */
 	int64_t now;
 	struct lead_record record;
 	uint64_t revision;
 	struct model_vm vm[VMS];
 	struct lead_candidate member[MEMBERS];
-	uint64_t highest;	 /**< term of the newest promotion that took effect */
-	int pending, pending_at; /**< a promotion that will take effect */
+	uint64_t highest;	 /**< term of the last promotion that took effect */
+	int pending, pending_at; /**< member to become primary, or -1, and when */
 	uint64_t next_incarnation;
 	uint64_t era;
 	int64_t restored_at, copied_at;
-	int64_t known_until[VMS]; /**< of leases, as the VMs knew before the last restore */
+	int64_t known_until[VMS]; /**< ends of the leases known before the last restore */
 	struct model_store copy;
 };
 
@@ -172,7 +175,7 @@
 	return m->now < m->vm[i].store_until;
 }
 
-/** What the store tells the VM of its era. */
+/** The VM learns the era of the store. */
 static void model_observe(struct model *m, struct model_vm *v)
 {
 	bool first = v->era.now == 0;
@@ -181,11 +184,14 @@
 	era_observe(&v->era, m->era, m->now);
 	for (i = 0; first && i < VMS; i++) {
 		if (key_there(m, i) && m->vm[i].key_era < m->era)
-			era_unsettle(&v->era, m->now);
+			era_mark_unsettled(&v->era, m->now);
 	}
 }
 
-/** A VM that was there before a restore keeps on its list whom the store has lost. */
+/**
+ * Checks that all leases of earlier eras have ended. A VM that ran before a restore still lists the
+ * VMs whose keys the store has lost.
+ */
 static bool model_settled(const struct model *m, const struct model_vm *v)
 {
 	uint64_t oldest = UINT64_MAX;
@@ -205,7 +211,7 @@
 	return era_revision(m->era, era_number(m->revision) + 1);
 }
 
-/** Those that watch the store hear of what is written at once. */
+/** Writes the record; VMs that watch the store are notified immediately. */
 static void model_write(struct model *m, const struct lead_record *r)
 {
 	int i;
@@ -219,14 +225,14 @@
 		if (w->era.now != 0 && w->era.now != m->era)
 			continue;
 		w->record = *r;
-		lead_recover(&w->record, &known);
+		lead_recover_choice(&w->record, &known);
 		w->revision = m->revision;
 		if (!lead_vm_equal(&r->owner, &w->id))
 			w->owns = false;
 	}
 }
 
-/** Read the record under a new lease, or in a new era. */
+/** Reads the record under a new lease, or in a new era. */
 static void model_read(struct model *m, struct model_vm *v)
 {
 	bool goes_on = v->lease_era != m->era && m->now < v->lease_until && v->owns && !v->yielded;
@@ -234,7 +240,7 @@
 
 	v->record = m->record;
 	v->owns = lead_vm_equal(&m->record.owner, &v->id);
-	lead_recover(&v->record, &known);
+	lead_recover_choice(&v->record, &known);
 	v->revision = m->revision;
 	if (v->owns)
 		v->yielded = false;
@@ -251,7 +257,7 @@
 	if (m->now >= v->lease_until || lead_vm_equal(&r.owner, &v->id))
 		return;
 	model_observe(m, v);
-	lead_recover(&r, &v->record);
+	lead_recover_choice(&r, &v->record);
 	if (!lead_claim(&r, &v->id, "1.1.1.1:1", false))
 		return;
 	model_write(m, &r);
@@ -268,7 +274,7 @@
 	int64_t sent = m->now - rand() % 3;
 
 	model_observe(m, v);
-	/* A lease that the store has ended is a new one: the record is read again under it. */
+	/* The store has ended the lease: this is a new one, and the record is read again. */
 	if (m->now >= v->store_until || v->lease_era != m->era)
 		model_read(m, v);
 	v->lease_until = sent + LEASE;
@@ -277,7 +283,7 @@
 	if (v->key_process != v->id.incarnation)
 		v->key_era = m->era;
 	v->key_process = v->id.incarnation;
-	/* What the store has lost is written before the key tells the new era. */
+	/* A choice that the store has lost is written before the key shows the new era. */
 	if (v->record.choices <= m->record.choices) {
 		v->key_era = m->era;
 	} else if (v->owns) {
@@ -298,21 +304,21 @@
 		v->to_read = v->primary < 0;
 		return;
 	}
-	/* What others have recovered meanwhile is in the store by now. */
+	/* By now the store has the choices that other VMs have recovered. */
 	if (v->to_read) {
 		v->to_read = false;
 		model_read(m, v);
 	}
 	if (!may_send(m, v))
 		return;
-	found = lead_find(&v->record, member_names, m->member, MEMBERS);
+	found = lead_find_primary(&v->record, member_names, m->member, MEMBERS);
 	if (found >= 0) {
 		v->primary = found;
 		v->term = m->member[found].term;
 	}
 }
 
-/** The sender's word, or the store's: it sends no more. */
+/** Removes senders that confirmed that they stopped, or whose lease has ended in the store. */
 static void model_fence(struct model *m, struct model_vm *v, bool reachable)
 {
 	unsigned i = 0;
@@ -351,7 +357,7 @@
 	    !model_settled(m, v))
 		return;
 	v->primary = -1;
-	best = lead_choose(m->member, MEMBERS, rand() % MEMBERS);
+	best = lead_choose_successor(m->member, MEMBERS, rand() % MEMBERS);
 	if (best < 0)
 		return;
 	r = v->record;
@@ -368,14 +374,14 @@
 	}
 }
 
-/** A statement: no VM may get one believed by a member that a promotion has replaced. */
+/** Sends a statement: no VM may send to a member that a promotion has replaced. */
 static void model_send(struct model *m, struct model_vm *v, int seed)
 {
 	if (!may_send(m, v) || v->primary < 0)
 		return;
 	CHECK(m->member[v->primary].term == m->highest,
-	      "seed %d: %s believes m%d of term %lu, %lu leads", seed, v->id.name, v->primary,
-	      m->member[v->primary].term, m->highest);
+	      "seed %d: %s sends to m%d of term %lu, highest term is %lu", seed, v->id.name,
+	      v->primary, m->member[v->primary].term, m->highest);
 }
 
 static void model_save(const struct model *m, struct model_store *to)
@@ -391,7 +397,7 @@
 	}
 }
 
-/** The store comes back from the copy; what was written since, leases too, is gone. */
+/** Restores the store from the copy; all later writes, including leases, are lost. */
 static void model_restore(struct model *m)
 {
 	int i;
@@ -448,7 +454,7 @@
 	case 7:
 		model_promote(m, v);
 		break;
-	case 8: /* Restarted: another process of the same name. */
+	case 8: /* Restart: a new process with the same VM name. */
 		if (rand() % 4 == 0 && (m->era < 2 || m->now > m->restored_at + LEASE)) {
 			v->id.incarnation = ++m->next_incarnation;
 			v->owns = v->ordered = v->yielded = false;
@@ -458,7 +464,7 @@
 			memset(&v->era, 0, sizeof(v->era));
 		}
 		break;
-	case 9: /* Suspended: time passes, and its clock runs on. */
+	case 9: /* Suspension: time passes, and the clocks of the VMs run on. */
 		if (rand() % 10 == 0)
 			m->now += rand() % (2 * LEASE);
 		break;
@@ -494,11 +500,11 @@
 }
 
 /*
- * A caller's acknowledged write, or what a read showed it, vanishes: two VMs send to different
- * members that both think they lead. Claims, yields, restarts, suspended VMs, lapsed leases and
- * late promotions come in any order; at no step may a VM believe a member that was replaced.
+ * Guards against lost acknowledged writes when two VMs send to different members that both act as
+ * primary. Claims, yields, restarts, suspended VMs, expired leases and late promotions occur in
+ * random order; at no step may a VM send to a member that was replaced.
  */
-static void test_nobody_believes_a_replaced_primary(void)
+static void test_no_vm_sends_to_a_replaced_primary(void)
 {
 	int seed;
 
@@ -506,8 +512,11 @@
 		model_play(seed, false);
 }
 
-/* The same while the store forgets leases, claims and choices of its last seconds. */
-static void test_nobody_believes_a_replaced_primary_after_a_restore(void)
+/*
+ * Guards against lost acknowledged writes when, in addition, the store is restored from a copy and
+ * loses the leases, claims and choices of its last seconds.
+ */
+static void test_no_vm_sends_to_a_replaced_primary_after_a_restore(void)
 {
 	int seed;
 
@@ -516,14 +525,15 @@
 }
 
 static const struct test_case cases[] = {
-	{"a_claim_keeps_the_former_owner_as_sender", test_a_claim_keeps_the_former_owner_as_sender},
-	{"a_full_record_takes_no_claim", test_a_full_record_takes_no_claim},
+	{"a_claim_lists_the_previous_owner_as_sender",
+	 test_a_claim_lists_the_previous_owner_as_sender},
+	{"a_claim_on_a_full_record_fails", test_a_claim_on_a_full_record_fails},
 	{"a_replaced_primary_is_not_found", test_a_replaced_primary_is_not_found},
 	{"the_newest_log_is_chosen", test_the_newest_log_is_chosen},
 	{"others_are_asked_before_a_silent_primary_is_replaced",
 	 test_others_are_asked_before_a_silent_primary_is_replaced},
-	{"nobody_believes_a_replaced_primary", test_nobody_believes_a_replaced_primary},
-	{"nobody_believes_a_replaced_primary_after_a_restore",
-	 test_nobody_believes_a_replaced_primary_after_a_restore},
+	{"no_vm_sends_to_a_replaced_primary", test_no_vm_sends_to_a_replaced_primary},
+	{"no_vm_sends_to_a_replaced_primary_after_a_restore",
+	 test_no_vm_sends_to_a_replaced_primary_after_a_restore},
 };
 HARNESS_MAIN("lead", cases)
--- a/tests/test-marks.c
+++ b/tests/test-marks.c
@@ -1,4 +1,4 @@
-/** @file test-marks.c What is known of the newest acknowledged write. */
+/** @file test-marks.c High-water marks of the primary's log over time. */
 #include "harness.h"
 #include "marks.h"
 
@@ -9,43 +9,44 @@
 	return (struct pos){term, lsn};
 }
 
-static void test_need_is_the_oldest_that_suffices(void)
+static void test_oldest_sufficient_mark_is_required(void)
 {
 	struct marks m;
 	struct pos need;
 	int i;
 
 	marks_clear(&m);
-	CU_ASSERT_FALSE(marks_need(&m, 0, &need));
+	CU_ASSERT_FALSE(marks_required(&m, 0, &need));
 	for (i = 1; i <= 10; i++)
 		marks_add(&m, at(1, (uint64_t)i * 10), i * 100 * USEC_PER_MSEC);
-	CU_ASSERT_TRUE(marks_need(&m, 250 * USEC_PER_MSEC, &need));
+	CU_ASSERT_TRUE(marks_required(&m, 250 * USEC_PER_MSEC, &need));
 	CU_ASSERT_EQUAL(need.lsn, 30);
-	CU_ASSERT_TRUE(marks_need(&m, 1000 * USEC_PER_MSEC, &need));
+	CU_ASSERT_TRUE(marks_required(&m, 1000 * USEC_PER_MSEC, &need));
 	CU_ASSERT_EQUAL(need.lsn, 100);
 }
 
 /*
- * A caller asks for data at most 1.5 s old, and the primary has not answered for longer. What was
- * known then may lack writes acknowledged since by another owner: nothing may be promised.
+ * Guards against a read that is served with data older than its maximum age: the primary has not
+ * answered within that age, so the last known position may lack writes that another owner has
+ * acknowledged since.
  */
-static void test_old_knowledge_promises_nothing(void)
+static void test_outdated_mark_is_not_sufficient(void)
 {
 	struct marks m;
 	struct pos need;
 
 	marks_clear(&m);
 	marks_add(&m, at(1, 5), 100);
-	CU_ASSERT_FALSE(marks_need(&m, 101, &need));
-	CU_ASSERT_TRUE(marks_need(&m, 100, &need));
+	CU_ASSERT_FALSE(marks_required(&m, 101, &need));
+	CU_ASSERT_TRUE(marks_required(&m, 100, &need));
 }
 
 /*
- * A session wrote record 50 of term 1; the promotion kept 40. No member will ever have 1.50 again,
- * and waiting for it would turn each of the session's reads away. What the new primary began with
- * stands for all that was kept.
+ * Guards against a session whose reads are all refused after a promotion discarded its write: the
+ * session wrote record 50 of term 1, the promotion kept records up to 40, and no member will ever
+ * reach position 1.50. The first position of the new primary is required instead.
  */
-static void test_a_discarded_write_is_not_waited_for(void)
+static void test_a_discarded_write_is_not_required(void)
 {
 	struct marks m;
 	struct pos need;
@@ -54,17 +55,18 @@
 	marks_add(&m, at(1, 50), 1000);
 	marks_new_term(&m, at(1, 40), 2000);
 	marks_add(&m, at(2, 41), 3000);
-	CU_ASSERT_EQUAL(marks_own(&m, at(2, 41)).lsn, 41);
-	CU_ASSERT_EQUAL(marks_own(&m, at(0, 0)).term, 0);
-	CU_ASSERT_TRUE(marks_need(&m, 2500, &need));
+	CU_ASSERT_EQUAL(marks_in_current_term(&m, at(2, 41)).lsn, 41);
+	CU_ASSERT_EQUAL(marks_in_current_term(&m, at(0, 0)).term, 0);
+	CU_ASSERT_TRUE(marks_required(&m, 2500, &need));
 	CU_ASSERT_EQUAL(need.lsn, 41);
 	marks_new_term(&m, at(3, 60), 4000);
-	CU_ASSERT_EQUAL(marks_own(&m, at(2, 70)).lsn, 60);
+	CU_ASSERT_EQUAL(marks_in_current_term(&m, at(2, 70)).lsn, 60);
 }
 
 /**
- * Answers come late and in another order than their statements were sent. The need for a moment
- * covers all that was committed before it, and is never newer than what the primary has.
+ * Answers arrive late and in a different order than their statements were sent. The position
+ * required for a point in time must cover everything committed before it, and must never be above
+ * the primary's position.
  */
 static void test_random_order_of_answers(void)
 {
@@ -91,7 +93,7 @@
 			lsn[i] = top;
 			marks_add(&m, at(1, top), now - rand() % 30000);
 			since = now - rand() % 3000000;
-			if (!marks_need(&m, since, &need))
+			if (!marks_required(&m, since, &need))
 				continue;
 			for (k = 0; k <= i && when[k] <= since; k++)
 				covered = lsn[k];
@@ -103,9 +105,9 @@
 }
 
 static const struct test_case cases[] = {
-	{"need_is_the_oldest_that_suffices", test_need_is_the_oldest_that_suffices},
-	{"old_knowledge_promises_nothing", test_old_knowledge_promises_nothing},
-	{"a_discarded_write_is_not_waited_for", test_a_discarded_write_is_not_waited_for},
+	{"oldest_sufficient_mark_is_required", test_oldest_sufficient_mark_is_required},
+	{"outdated_mark_is_not_sufficient", test_outdated_mark_is_not_sufficient},
+	{"a_discarded_write_is_not_required", test_a_discarded_write_is_not_required},
 	{"random_order_of_answers", test_random_order_of_answers},
 };
 HARNESS_MAIN("marks", cases)
--- a/tests/test-outcome.c
+++ b/tests/test-outcome.c
@@ -4,16 +4,17 @@
 
 #include <string.h>
 
-#define FAR (100 * USEC_PER_SEC)
+#define FAR_DEADLINE_US (100 * USEC_PER_SEC)
 
 static enum next_step next(enum outcome o, bool write, bool tx)
 {
-	struct retry_state r = {.write = write, .in_transaction = tx, .deadline_us = FAR};
+	struct retry_state r = {
+		.write = write, .in_transaction = tx, .deadline_us = FAR_DEADLINE_US};
 
 	return outcome_next(o, &r, 0, 0).step;
 }
 
-/* A write whose answer was lost may have run: sent again, the order would be doubled. */
+/* Guards against a write that takes effect twice: if its answer was lost, it may have run. */
 static void test_lost_write_is_never_repeated(void)
 {
 	CU_ASSERT_EQUAL(next(OUTCOME_LOST, true, false), STEP_REFUSE);
@@ -23,7 +24,7 @@
 	CU_ASSERT_STRING_EQUAL(outcome_text(OUTCOME_LOST)->sqlstate, "08007");
 }
 
-static void test_what_did_not_run_is_tried_again(void)
+static void test_what_did_not_run_is_retried(void)
 {
 	static const enum outcome retried[] = {OUTCOME_NOT_PRIMARY, OUTCOME_BEHIND,
 					       OUTCOME_NO_CONNECTION, OUTCOME_NOT_SENT,
@@ -39,10 +40,10 @@
 }
 
 /*
- * "not run" may be said only of outcomes after which the statement has no effect; each outcome has
- * its own words.
+ * Every outcome has a name and an SQLSTATE. "not run" must not be set for an unknown outcome
+ * (08007), after which the statement may have had an effect.
  */
-static void test_every_outcome_is_told(void)
+static void test_every_outcome_has_name_and_sqlstate(void)
 {
 	int o;
 
@@ -69,8 +70,8 @@
 
 static const struct test_case cases[] = {
 	{"lost_write_is_never_repeated", test_lost_write_is_never_repeated},
-	{"what_did_not_run_is_tried_again", test_what_did_not_run_is_tried_again},
-	{"every_outcome_is_told", test_every_outcome_is_told},
+	{"what_did_not_run_is_retried", test_what_did_not_run_is_retried},
+	{"every_outcome_has_name_and_sqlstate", test_every_outcome_has_name_and_sqlstate},
 	{"refused_at_once_when_no_try_fits", test_refused_at_once_when_no_try_fits},
 };
 HARNESS_MAIN("outcome", cases)
--- a/tests/test-ready.c
+++ b/tests/test-ready.c
@@ -1,28 +1,31 @@
-/** @file test-ready.c Whether a VM that is cut off should take callers. */
+/** @file test-ready.c Readiness of a VM that is cut off from other data centres. */
 #include "harness.h"
 #include "ready.h"
 
 #define STEP_US (50 * USEC_PER_MSEC)
 
-/** Answer for @a us; of each ten statements @a unserved are not served. @return when it ends */
-static int64_t play(struct ready *r, int64_t heard_us, int64_t now, int64_t us, unsigned unserved)
+/**
+ * Simulates statements from @a now for @a us; of every ten, @a unserved are not served.
+ * @return the end time
+ */
+static int64_t play(struct ready *r, int64_t last_contact_us, int64_t now, int64_t us,
+		    unsigned unserved)
 {
 	int64_t until = now + us;
 	unsigned i;
 
 	for (; now < until; now += STEP_US) {
 		for (i = 0; i < 10; i++)
-			ready_note(r, i >= unserved);
-		ready_judge(r, heard_us, now);
+			ready_count(r, i >= unserved);
+		ready_update(r, last_contact_us, now);
 	}
 	return now;
 }
 
 /*
- * A data centre is cut off for 5.5 s and its callers still reach it. The owners of two thirds of
- * the groups are on the other side, and what needs them is refused: the VM sends its callers there
- * within a second and a half, closes their sessions once the balancer knows, and takes callers
- * again as soon as another data centre is heard.
+ * A data centre is cut off for 5.5 s while its callers still reach it, and the owners of two thirds
+ * of the groups are outside it. The VM must report not ready within 1.5 s, close its sessions once
+ * the load balancer knows, and take callers again on the first contact with another data centre.
  */
 static void test_callers_go_where_more_is_served(void)
 {
@@ -33,11 +36,11 @@
 	CU_ASSERT_FALSE(ready_close_idle(&r, now));
 	now = play(&r, 1, now, 4000 * USEC_PER_MSEC, 7);
 	CU_ASSERT_TRUE(ready_close_idle(&r, now));
-	CU_ASSERT_TRUE(ready_judge(&r, now, now));
+	CU_ASSERT_TRUE(ready_update(&r, now, now));
 	CU_ASSERT_FALSE(ready_close_idle(&r, now));
 }
 
-/* The owners of most groups are on this side: its callers would be refused elsewhere. */
+/* The owners of most groups are in the cut-off data centre: callers would be refused elsewhere. */
 static void test_callers_stay_where_more_is_served(void)
 {
 	struct ready r = {0};
@@ -47,8 +50,9 @@
 }
 
 /*
- * A store outage, a lost primary or a hot team has callers refused everywhere. As long as another
- * data centre is heard, nobody is better off elsewhere: all VMs not ready would be worse.
+ * Guards against all VMs reporting not ready at once. A store outage, a failed primary or an
+ * overloaded team makes requests fail everywhere; while there is contact with another data centre,
+ * callers would not be served better elsewhere.
  */
 static void test_refusals_alone_send_nobody_away(void)
 {
@@ -58,12 +62,12 @@
 	for (now = 1; now < 5 * USEC_PER_SEC; now += STEP_US)
 		play(&r, now, now, STEP_US, 10);
 	CU_ASSERT_FALSE(r.away);
-	/* Nor does a fleet of one data centre have anywhere to send them. */
+	/* In a fleet with a single data centre there is no other place to send callers to. */
 	play(&r, 0, now, 5 * USEC_PER_SEC, 10);
 	CU_ASSERT_FALSE(r.away);
 }
 
-/* A link that comes and goes twice a second: callers are not sent to and fro. */
+/* A link that goes down and up twice a second must not move callers back and forth. */
 static void test_a_flapping_link_sends_nobody_away(void)
 {
 	struct ready r = {0};
--- a/tests/test-replay.c
+++ b/tests/test-replay.c
@@ -1,8 +1,8 @@
 /**
  * @file test-replay.c
- * Runs the failover decisions again on recorded runs (tests/traces/) and compares what they decide
- * with what the record says was decided. A trace is what a daemon writes with [log] trace; one line
- * an input, "outcome" lines for decisions.
+ * Replays the failover decisions on recorded traces (tests/traces/) and compares the decisions with
+ * the recorded ones. A daemon writes a trace with the setting [log] trace. A line that begins with
+ * "outcome" is a decision; every other line is an input.
  */
 #include "failover.h"
 #include "harness.h"
@@ -11,12 +11,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** The state of one member's watch in the trace. */
+/** Replayed state of the decisions that the trace records under one key. */
 struct watch {
 	char key[2 * NAME_SIZE];
 	struct group_view view;
 	struct failover failover;
-	struct failover_order decided; /**< by the last input, not yet compared */
+	struct failover_order decided; /**< decision on the last input, not compared yet */
 };
 
 static struct {
@@ -43,13 +43,13 @@
 	return &replay.watch[i];
 }
 
-static void differs(const char *line)
+static void note_difference(const char *line)
 {
 	if (replay.differ++ == 0)
 		printf("first difference: %s", line);
 }
 
-static void take_input(struct watch *w, const char *what, const char *rest)
+static void replay_input(struct watch *w, const char *what, const char *rest)
 {
 	struct failover_order *o = &w->decided;
 	struct member_report r = {0};
@@ -78,7 +78,7 @@
 	}
 }
 
-static void take_line(const char *line)
+static void replay_line(const char *line)
 {
 	char what[32], key[2 * NAME_SIZE];
 	unsigned members;
@@ -94,19 +94,19 @@
 		return;
 	if (strcmp(what, "outcome") != 0) {
 		if (w->decided.act != FAILOVER_NOTHING)
-			differs(line);
+			note_difference(line);
 		w->decided.act = FAILOVER_NOTHING;
-		take_input(w, what, line + used);
+		replay_input(w, what, line + used);
 		return;
 	}
 	replay.outcomes++;
 	if (sscanf(line + used, "%d %lu %d", &act, &term, &member) != 3 ||
 	    act != (int)w->decided.act || term != w->decided.term || member != w->decided.member)
-		differs(line);
+		note_difference(line);
 	w->decided.act = FAILOVER_NOTHING;
 }
 
-/** Replay one file. @return its number of outcomes */
+/** Replays one file. @return its number of recorded decisions */
 static unsigned replay_file(const char *path)
 {
 	FILE *f = fopen(path, "r");
@@ -115,7 +115,7 @@
 	memset(&replay, 0, sizeof(replay));
 	CHECK(f != NULL, "%s", path);
 	while (f != NULL && fgets(line, sizeof(line), f) != NULL)
-		take_line(line);
+		replay_line(line);
 	if (f != NULL)
 		fclose(f);
 	printf("%s: %u inputs, %u outcomes, %u differ\n", path, replay.inputs, replay.outcomes,
--- a/tests/test-route.c
+++ b/tests/test-route.c
@@ -1,4 +1,4 @@
-/** @file test-route.c Choice of the member for a request. */
+/** @file test-route.c Choice of the member that serves a request. */
 #include "harness.h"
 #include "route.h"
 
@@ -26,7 +26,7 @@
 	CU_ASSERT_EQUAL(o.member, 0);
 }
 
-/* A session that does not show its token could read a replica without its own write. */
+/* Guards against a session that sends no token and reads from a replica without its write. */
 static void test_read_without_token(void)
 {
 	struct route_view v = three();
@@ -48,14 +48,14 @@
 	v.member[2].behind_until_us = NOW + 1;
 	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW).member, 0);
 	/*
-	 * Known to have passed the token since: worth asking although it was behind for another
+	 * A replica known to have reached the token is used although it was behind for another
 	 * session.
 	 */
 	v.member[2].applied = (struct pos){4, 10};
 	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW).member, 2);
 }
 
-static void test_near_replica_first(void)
+static void test_local_replica_first(void)
 {
 	struct route_view v = three();
 	struct route_request req = {.max_age_us = 1000, .random = 7};
@@ -81,15 +81,15 @@
 	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW).verdict, ROUTE_WAIT);
 }
 
-static void test_learns_only_later_terms(void)
+static void test_earlier_terms_are_ignored(void)
 {
 	struct route_view v = three();
 
-	route_learn_primary(&v, "b", 3);
+	route_update_primary(&v, "b", 3);
 	CU_ASSERT_EQUAL(v.primary, 0);
-	route_learn_primary(&v, "b", 5);
+	route_update_primary(&v, "b", 5);
 	CU_ASSERT_EQUAL(v.primary, 1);
-	route_learn_primary(&v, "unknown", 9);
+	route_update_primary(&v, "unknown", 9);
 	CU_ASSERT_EQUAL(v.primary, 1);
 }
 
@@ -97,8 +97,8 @@
 	{"write_to_primary", test_write_to_primary},
 	{"read_without_token", test_read_without_token},
 	{"read_with_token", test_read_with_token},
-	{"near_replica_first", test_near_replica_first},
+	{"local_replica_first", test_local_replica_first},
 	{"unknown_primary_is_asked_for", test_unknown_primary_is_asked_for},
-	{"learns_only_later_terms", test_learns_only_later_terms},
+	{"earlier_terms_are_ignored", test_earlier_terms_are_ignored},
 };
 HARNESS_MAIN("route", cases)
--- a/tests/test-token.c
+++ b/tests/test-token.c
@@ -47,8 +47,8 @@
 }
 
 /*
- * A session that writes to more pools than its token names must be told apart: its reads elsewhere
- * go to the primary.
+ * A session that writes to more pools than its token can name must set the overflow flag, so that
+ * its reads in the other pools go to the primary.
  */
 static void test_too_many_pools(void)
 {
@@ -69,35 +69,36 @@
 	CU_ASSERT_EQUAL(back.n, TOKEN_SET_MAX);
 }
 
-static void test_fate(void)
+static void test_token_status_by_term_history(void)
 {
 	struct term_history h = {0};
 
 	term_history_add(&h, 1, 0);
 	term_history_add(&h, 3, 10);
-	CU_ASSERT_EQUAL(token_fate((struct pos){1, 10}, &h), TOKEN_KEPT);
-	CU_ASSERT_EQUAL(token_fate((struct pos){1, 11}, &h), TOKEN_LOST);
-	CU_ASSERT_EQUAL(token_fate((struct pos){2, 11}, &h), TOKEN_LOST);
-	CU_ASSERT_EQUAL(token_fate((struct pos){3, 500}, &h), TOKEN_KEPT);
+	CU_ASSERT_EQUAL(token_status((struct pos){1, 10}, &h), TOKEN_KEPT);
+	CU_ASSERT_EQUAL(token_status((struct pos){1, 11}, &h), TOKEN_LOST);
+	CU_ASSERT_EQUAL(token_status((struct pos){2, 11}, &h), TOKEN_LOST);
+	CU_ASSERT_EQUAL(token_status((struct pos){3, 500}, &h), TOKEN_KEPT);
 }
 
 /*
- * A session reads a past without its acknowledged write, and is told of the loss one read later.
- * A promotion discards the write; a replica already follows the new primary and answers from the
- * new term, at a position as high as the write's, before its home has looked at it again. What the
- * home knows of the terms then ends with the old one, in which the write seems kept.
+ * Guards against a session that reads data without its acknowledged write and gets the error only
+ * at the next read. A promotion discards the write; a replica already follows the new primary and
+ * answers from the new term, at a position at least as high as the write's, before its home has
+ * requested a new report. The home's term history then ends with the old term, in which the write
+ * seems kept.
  */
-static void test_fate_in_a_term_that_is_not_known(void)
+static void test_token_status_in_an_unknown_term(void)
 {
 	struct term_history h = {0};
 
 	term_history_add(&h, 1, 0);
-	CU_ASSERT_EQUAL(token_fate_in((struct pos){1, 11}, 1, &h), TOKEN_KEPT);
-	CU_ASSERT_EQUAL(token_fate_in((struct pos){1, 11}, 2, &h), TOKEN_UNKNOWN);
+	CU_ASSERT_EQUAL(token_status_in_term((struct pos){1, 11}, 1, &h), TOKEN_KEPT);
+	CU_ASSERT_EQUAL(token_status_in_term((struct pos){1, 11}, 2, &h), TOKEN_UNKNOWN);
 	term_history_add(&h, 2, 10);
-	CU_ASSERT_EQUAL(token_fate_in((struct pos){1, 11}, 2, &h), TOKEN_LOST);
-	CU_ASSERT_EQUAL(token_fate_in((struct pos){1, 10}, 2, &h), TOKEN_KEPT);
-	CU_ASSERT_EQUAL(token_fate_in((struct pos){2, 30}, 2, &h), TOKEN_KEPT);
+	CU_ASSERT_EQUAL(token_status_in_term((struct pos){1, 11}, 2, &h), TOKEN_LOST);
+	CU_ASSERT_EQUAL(token_status_in_term((struct pos){1, 10}, 2, &h), TOKEN_KEPT);
+	CU_ASSERT_EQUAL(token_status_in_term((struct pos){2, 30}, 2, &h), TOKEN_KEPT);
 }
 
 static const struct test_case cases[] = {
@@ -105,7 +106,7 @@
 	{"refuses_other_texts", test_refuses_other_texts},
 	{"positions_only_rise", test_positions_only_rise},
 	{"too_many_pools", test_too_many_pools},
-	{"fate", test_fate},
-	{"fate_in_a_term_that_is_not_known", test_fate_in_a_term_that_is_not_known},
+	{"token_status_by_term_history", test_token_status_by_term_history},
+	{"token_status_in_an_unknown_term", test_token_status_in_an_unknown_term},
 };
 HARNESS_MAIN("token", cases)
