--- a/tests/faultproxy.c
+++ b/tests/faultproxy.c
@@ -1,20 +1,20 @@
 /**
  * @file faultproxy.c
- * Forwards TCP connections on 127.0.0.1 and breaks them on command. Arguments: NAME=LISTEN:TO
- * ports. Commands come as lines on standard input, "COMMAND ROUTE [LABEL|NUMBER]", each answered by
- * "ok":
+ * Forwards TCP connections on 127.0.0.1 and injects network faults on command. Each argument
+ * NAME=LISTEN:TARGET defines a route from one port to another. Commands are read as lines from
+ * standard input, "COMMAND ROUTE [LABEL|NUMBER]"; each is answered by a line "ok":
  *
- *   pass ROUTE [LABEL]    forward again (what was held is delivered)
- *   cut ROUTE [LABEL]     close open connections, refuse new ones
- *   hold ROUTE [LABEL]    open and new connections go silent both ways
- *   freeze ROUTE          open connections go silent for good, new ones work
- *   mute ROUTE            what the server sends is not delivered; what the client sends is
- *   deaf ROUTE            what the client sends is not delivered
+ *   pass ROUTE [LABEL]    forward normally; data that was held back is delivered
+ *   cut ROUTE [LABEL]     close open connections and refuse new ones
+ *   hold ROUTE [LABEL]    deliver nothing in either direction, on open and new connections
+ *   freeze ROUTE          deliver nothing on open connections, for good; new ones work
+ *   mute ROUTE            hold back what the server sends, deliver what the client sends
+ *   deaf ROUTE            hold back what the client sends, deliver what the server sends
  *   reset ROUTE           close open connections
- *   delay ROUTE MS        deliver later
+ *   delay ROUTE MS        deliver after a delay
  *
- * A LABEL limits a command to connections whose first bytes contain it: the name of the VM or
- * member that connects.
+ * A LABEL limits a command to connections whose first bytes contain it, such as the name of the
+ * VM or member that connects.
  */
 #include "kernel.h"
 #include "net.h"
@@ -27,8 +27,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LABELS_MAX 16
-#define LABEL_BYTES 512
+#define RULES_MAX 16
+#define FIRST_BYTES_MAX 512
 
 enum mode { MODE_PASS, MODE_CUT, MODE_HOLD, MODE_MUTE, MODE_DEAF };
 
@@ -43,22 +43,22 @@
 struct route {
 	TAILQ_ENTRY(route) entry;
 	char name[32];
-	int to;
+	int target_port;
 	enum mode mode;
-	struct rule rule[LABELS_MAX];
-	unsigned rules;
+	struct rule rule[RULES_MAX];
+	unsigned n_rules;
 	int delay_ms;
 	struct links links;
 };
 TAILQ_HEAD(routes, route);
 
-/** One connection: two ends. */
+/** A forwarded connection: its client side and its server side. */
 struct link {
 	TAILQ_ENTRY(link) entry;
 	struct route *route;
 	struct bufferevent *client, *server;
-	char first[LABEL_BYTES]; /**< its first bytes, for labels */
-	size_t first_len;
+	char first_bytes[FIRST_BYTES_MAX]; /**< sent by the client; matched with labels */
+	size_t first_bytes_len;
 	bool frozen;
 	struct event *timer;
 };
@@ -80,16 +80,17 @@
 	const struct route *r = l->route;
 	unsigned i;
 
-	for (i = 0; i < r->rules; i++) {
-		if (r->rule[i].mode != MODE_PASS && memmem(l->first, l->first_len, r->rule[i].label,
-							   strlen(r->rule[i].label)) != NULL)
+	for (i = 0; i < r->n_rules; i++) {
+		if (r->rule[i].mode != MODE_PASS &&
+		    memmem(l->first_bytes, l->first_bytes_len, r->rule[i].label,
+			   strlen(r->rule[i].label)) != NULL)
 			return r->rule[i].mode;
 	}
 	return r->mode;
 }
 
-/** Move what may be moved. */
-static void link_pump(struct link *l)
+/** Forwards buffered data in the directions that the connection's mode allows. */
+static void link_forward(struct link *l)
 {
 	enum mode mode = link_mode(l);
 
@@ -101,21 +102,22 @@
 		bufferevent_write_buffer(l->client, bufferevent_get_input(l->server));
 }
 
-static void link_timer(evutil_socket_t fd, short what, void *arg)
+static void on_delay_timer(evutil_socket_t fd, short what, void *arg)
 {
-	link_pump(arg);
+	link_forward(arg);
 }
 
 static void on_read(struct bufferevent *bev, void *arg)
 {
 	struct link *l = arg;
 
-	if (bev == l->client && l->first_len < LABEL_BYTES) {
-		ssize_t n = evbuffer_copyout(bufferevent_get_input(bev), l->first + l->first_len,
-					     LABEL_BYTES - l->first_len);
+	if (bev == l->client && l->first_bytes_len < FIRST_BYTES_MAX) {
+		ssize_t n = evbuffer_copyout(bufferevent_get_input(bev),
+					     l->first_bytes + l->first_bytes_len,
+					     FIRST_BYTES_MAX - l->first_bytes_len);
 
 		if (n > 0)
-			l->first_len += (size_t)n;
+			l->first_bytes_len += (size_t)n;
 	}
 	if (link_mode(l) == MODE_CUT) {
 		link_close(l);
@@ -129,7 +131,7 @@
 			event_add(l->timer, &tv);
 		return;
 	}
-	link_pump(l);
+	link_forward(l);
 }
 
 static void on_event(struct bufferevent *bev, short what, void *arg)
@@ -138,12 +140,12 @@
 
 	if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)))
 		return;
-	/* A silent connection hides its end as well. */
+	/* A connection that is held or frozen does not pass on the close either. */
 	if (l->frozen || link_mode(l) == MODE_HOLD) {
 		bufferevent_disable(bev, EV_READ);
 		return;
 	}
-	link_pump(l);
+	link_forward(l);
 	if (evbuffer_get_length(bufferevent_get_output(l->client)) > 0 && bev == l->server) {
 		bufferevent_flush(l->client, EV_WRITE, BEV_FLUSH);
 		evbuffer_write(bufferevent_get_output(l->client), bufferevent_getfd(l->client));
@@ -165,8 +167,8 @@
 	net_set_nodelay(fd);
 	l = g_new0(struct link, 1);
 	l->route = r;
-	sin.sin_port = htons((uint16_t)r->to);
-	l->timer = event_new(base, -1, 0, link_timer, l);
+	sin.sin_port = htons((uint16_t)r->target_port);
+	l->timer = event_new(base, -1, 0, on_delay_timer, l);
 	l->client =
 		bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
 	l->server =
@@ -179,14 +181,14 @@
 	bufferevent_socket_connect(l->server, (struct sockaddr *)&sin, sizeof(sin));
 }
 
-static void add_route(const char *text)
+static void route_add(const char *text)
 {
 	struct route *r = g_new0(struct route, 1);
 	char address[ADDRESS_SIZE];
 	int listen_port;
 
 	TAILQ_INIT(&r->links);
-	if (sscanf(text, "%31[^=]=%d:%d", r->name, &listen_port, &r->to) != 3)
+	if (sscanf(text, "%31[^=]=%d:%d", r->name, &listen_port, &r->target_port) != 3)
 		exit(2);
 	snprintf(address, sizeof(address), "127.0.0.1:%d", listen_port);
 	if (net_listen(base, address, on_accept, r, NULL) == NULL) {
@@ -196,28 +198,28 @@
 	TAILQ_INSERT_TAIL(&routes, r, entry);
 }
 
-static void set_mode(struct route *r, const char *label, enum mode mode)
+static void route_set_mode(struct route *r, const char *label, enum mode mode)
 {
 	unsigned i;
 
 	if (label[0] == '\0') {
 		r->mode = mode;
 		if (mode == MODE_PASS)
-			r->rules = 0;
+			r->n_rules = 0;
 		return;
 	}
-	for (i = 0; i < r->rules; i++) {
+	for (i = 0; i < r->n_rules; i++) {
 		if (strcmp(r->rule[i].label, label) == 0)
 			break;
 	}
-	if (i == LABELS_MAX)
+	if (i == RULES_MAX)
 		return;
 	g_strlcpy(r->rule[i].label, label, sizeof(r->rule[i].label));
 	r->rule[i].mode = mode;
-	r->rules = MAX(r->rules, i + 1);
+	r->n_rules = MAX(r->n_rules, i + 1);
 }
 
-static void touch_links(struct route *r, bool freeze, bool reset)
+static void apply_to_links(struct route *r, bool freeze, bool reset)
 {
 	struct link *l, *next;
 
@@ -226,11 +228,11 @@
 		if (reset || link_mode(l) == MODE_CUT)
 			link_close(l);
 		else
-			link_pump(l);
+			link_forward(l);
 	}
 }
 
-static void command(const char *line)
+static void run_command(const char *line)
 {
 	static const struct {
 		const char *word;
@@ -252,11 +254,11 @@
 		return;
 	for (i = 0; i < G_N_ELEMENTS(modes); i++) {
 		if (strcmp(modes[i].word, word) == 0)
-			set_mode(r, arg, modes[i].mode);
+			route_set_mode(r, arg, modes[i].mode);
 	}
 	if (strcmp(word, "delay") == 0)
 		r->delay_ms = atoi(arg);
-	touch_links(r, strcmp(word, "freeze") == 0, strcmp(word, "reset") == 0);
+	apply_to_links(r, strcmp(word, "freeze") == 0, strcmp(word, "reset") == 0);
 }
 
 static void on_command(struct bufferevent *bev, void *arg)
@@ -265,14 +267,14 @@
 
 	while ((line = evbuffer_readln(bufferevent_get_input(bev), NULL, EVBUFFER_EOL_LF)) !=
 	       NULL) {
-		command(line);
+		run_command(line);
 		free(line);
 		printf("ok\n");
 		fflush(stdout);
 	}
 }
 
-static void on_end(struct bufferevent *bev, short what, void *arg)
+static void on_stdin_end(struct bufferevent *bev, short what, void *arg)
 {
 	exit(0);
 }
@@ -285,10 +287,10 @@
 	signal(SIGPIPE, SIG_IGN);
 	base = event_base_new();
 	for (i = 1; i < argc; i++)
-		add_route(argv[i]);
+		route_add(argv[i]);
 	evutil_make_socket_nonblocking(0);
 	in = bufferevent_socket_new(base, 0, 0);
-	bufferevent_setcb(in, on_command, NULL, on_end, NULL);
+	bufferevent_setcb(in, on_command, NULL, on_stdin_end, NULL);
 	bufferevent_enable(in, EV_READ);
 	event_base_dispatch(base);
 	return 0;
--- a/tests/harness-line.c
+++ b/tests/harness-line.c
@@ -1,4 +1,7 @@
-/** @file harness-line.c Daemons, the stand-in of the prepared platform, and callers. */
+/**
+ * @file harness-line.c
+ * Starts daemons and standin-prepared, and implements callers of the line protocol.
+ */
 #include "harness-line.h"
 
 #include <arpa/inet.h>
@@ -14,16 +17,16 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/** An answer that has not come by then counts as a lost connection. */
-#define ANSWER_S 6
-#define START_MS 15000
+/** A connection counts as lost if an answer takes longer than this. */
+#define ANSWER_TIMEOUT_S 6
+#define START_TIMEOUT_MS 15000
 
-static int dial(int port)
+static int connect_local(int port)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET,
 				  .sin_port = htons((uint16_t)port),
 				  .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-	struct timeval tv = {.tv_sec = ANSWER_S};
+	struct timeval tv = {.tv_sec = ANSWER_TIMEOUT_S};
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
 	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &tv, sizeof(tv));
@@ -33,14 +36,15 @@
 	return -1;
 }
 
-/* The stand-in's own calls */
+/* HTTP interface of standin-prepared */
 
-static char *http(int port, const char *method, const char *path, const char *body, int *code)
+static char *http_request(int port, const char *method, const char *path, const char *body,
+			  int *code)
 {
 	char *text = g_strdup_printf("%s %s HTTP/1.0\r\nContent-Length: %zu\r\n\r\n%s", method,
 				     path, strlen(body), body);
-	GString *answer = g_string_new(NULL);
-	int fd = dial(port);
+	GString *response = g_string_new(NULL);
+	int fd = connect_local(port);
 	char buf[4096];
 	char *start;
 	ssize_t n;
@@ -48,22 +52,22 @@
 	*code = 0;
 	if (fd >= 0 && write(fd, text, strlen(text)) > 0) {
 		while ((n = read(fd, buf, sizeof(buf))) > 0)
-			g_string_append_len(answer, buf, n);
+			g_string_append_len(response, buf, n);
 	}
 	if (fd >= 0)
 		close(fd);
 	g_free(text);
-	sscanf(answer->str, "HTTP/%*s %d", code);
-	start = strstr(answer->str, "\r\n\r\n");
+	sscanf(response->str, "HTTP/%*s %d", code);
+	start = strstr(response->str, "\r\n\r\n");
 	text = g_strdup(start != NULL ? start + 4 : "");
-	g_string_free(answer, TRUE);
+	g_string_free(response, TRUE);
 	return text;
 }
 
 int line_get(int port, const char *path, char **body)
 {
 	int code;
-	char *text = http(port, "GET", path, "", &code);
+	char *text = http_request(port, "GET", path, "", &code);
 
 	if (body != NULL)
 		*body = text;
@@ -81,17 +85,17 @@
 	va_start(args, format);
 	body = g_strdup_vprintf(format, args);
 	va_end(args);
-	g_free(http(f->store, "POST", "/fault", body, &code));
+	g_free(http_request(f->store, "POST", "/fault", body, &code));
 	if (code != 200)
-		printf("the stand-in does not take %s\n", body);
+		printf("standin-prepared rejected the fault command: %s\n", body);
 	g_free(body);
 }
 
-static JsonParser *report(struct line_fleet *f)
+static JsonParser *fetch_report(struct line_fleet *f)
 {
 	JsonParser *p = json_parser_new();
 	int code;
-	char *text = http(f->store, "GET", "/report", "", &code);
+	char *text = http_request(f->store, "GET", "/report", "", &code);
 
 	json_parser_load_from_data(p, code == 200 ? text : "{}", -1, NULL);
 	g_free(text);
@@ -100,7 +104,7 @@
 
 int64_t line_report(struct line_fleet *f, const char *name)
 {
-	JsonParser *p = report(f);
+	JsonParser *p = fetch_report(f);
 	int64_t value = json_object_get_int_member_with_default(
 		json_node_get_object(json_parser_get_root(p)), name, -1);
 
@@ -110,7 +114,7 @@
 
 int64_t line_member_report(struct line_fleet *f, const char *member, const char *name)
 {
-	JsonParser *p = report(f);
+	JsonParser *p = fetch_report(f);
 	JsonArray *members = json_object_get_array_member(
 		json_node_get_object(json_parser_get_root(p)), "members");
 	int64_t value = -1;
@@ -128,7 +132,7 @@
 
 int line_log_count(struct line_fleet *f, const char *id)
 {
-	JsonParser *p = report(f);
+	JsonParser *p = fetch_report(f);
 	JsonArray *log =
 		json_object_get_array_member(json_node_get_object(json_parser_get_root(p)), "log");
 	int n = 0;
@@ -143,7 +147,7 @@
 GHashTable *line_log_counts(struct line_fleet *f)
 {
 	GHashTable *counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	JsonParser *p = report(f);
+	JsonParser *p = fetch_report(f);
 	JsonArray *log =
 		json_object_get_array_member(json_node_get_object(json_parser_get_root(p)), "log");
 	guint i;
@@ -160,7 +164,7 @@
 
 void line_primary(struct line_fleet *f, char name[32])
 {
-	JsonParser *p = report(f);
+	JsonParser *p = fetch_report(f);
 	JsonArray *members = json_object_get_array_member(
 		json_node_get_object(json_parser_get_root(p)), "members");
 	gint64 term = -1;
@@ -179,7 +183,7 @@
 	g_object_unref(p);
 }
 
-void line_document(struct line_fleet *f)
+void line_write_document(struct line_fleet *f)
 {
 	static const char *const routes =
 		"{\"name\":\"r1\",\"host\":\"" LINE_DB_PRIMARY
@@ -196,10 +200,10 @@
 		"\"tenants\":[{\"name\":\"clerks\",\"api-keys\":%s,\"rate-per-s\":%d,\"burst\":%d}]"
 		"}",
 		++f->version, routes, f->keys, f->rate, f->rate);
-	char *escaped = g_strescape(doc, NULL);
+	char *escaped_doc = g_strescape(doc, NULL);
 
-	line_fault(f, "{\"put\":\"op/config\",\"value\":\"%s\"}", escaped);
-	g_free(escaped);
+	line_fault(f, "{\"put\":\"op/config\",\"value\":\"%s\"}", escaped_doc);
+	g_free(escaped_doc);
 	g_free(doc);
 }
 
@@ -217,8 +221,8 @@
 		"promoter = \"127.0.0.1:%d\"\ntimeout_ms = 400\n"
 		"[rpc]\nsilent_ms = 600\nseeds = [\"127.0.0.1:%d\"]\n[log]\npath = \"-\"\n"
 		"[rates]\nwindow_s = 5\novershoot = 0.1\nslack = 20\n",
-		i, i, f->vm[i].caller, f->vm[i].rpc, f->vm[i].shown, f->vm[i].ready,
-		f->vm[i].metrics, f->shown_store, f->promoter, f->vm[0].shown);
+		i, i, f->vm[i].caller, f->vm[i].rpc, f->vm[i].advertised, f->vm[i].ready,
+		f->vm[i].metrics, f->advertised_store, f->promoter, f->vm[0].advertised);
 	char *path = g_strdup_printf("%s/vm%d.toml", f->dir, i);
 	char *log = g_strdup_printf("vm%d", i);
 	char *argv[] = {"mangoloomd", "--settings", path, NULL};
@@ -253,7 +257,7 @@
 	return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-char *line_log(struct line_fleet *f, int i)
+char *line_vm_log(struct line_fleet *f, int i)
 {
 	char *path = g_strdup_printf("%s/vm%d.err", f->dir, i);
 	char *text = NULL;
@@ -266,7 +270,7 @@
 static void start_standin(struct line_fleet *f)
 {
 	GPtrArray *argv = g_ptr_array_new_with_free_func(g_free);
-	int64_t until = test_now_ms() + START_MS;
+	int64_t until = test_now_ms() + START_TIMEOUT_MS;
 	int i;
 
 	g_ptr_array_add(argv, g_strdup("standin-prepared"));
@@ -279,7 +283,7 @@
 	for (i = 0; i < LINE_MEMBERS; i++) {
 		g_ptr_array_add(argv, g_strdup("--member"));
 		g_ptr_array_add(argv, g_strdup_printf("m%d:%d:%d", i, f->member_port[i],
-						      f->shown_member[i]));
+						      f->advertised_member[i]));
 	}
 	g_ptr_array_add(argv, NULL);
 	f->standin = test_spawn(f->dir, "standin", (char **)argv->pdata, -1, -1);
@@ -288,7 +292,7 @@
 		test_sleep_ms(20);
 }
 
-bool line_write_until(struct line_fleet *f, int vm, int ms)
+bool line_wait_until_writable(struct line_fleet *f, int vm, int ms)
 {
 	int64_t until = test_now_ms() + ms;
 	struct line_client c;
@@ -304,7 +308,7 @@
 	return ok;
 }
 
-void line_route(struct line_fleet *f, const char *format, ...)
+void line_proxy_command(struct line_fleet *f, const char *format, ...)
 {
 	va_list args;
 	char *line;
@@ -312,7 +316,7 @@
 	va_start(args, format);
 	line = g_strdup_vprintf(format, args);
 	va_end(args);
-	test_proxy_tell(&f->proxy, line);
+	test_proxy_command(&f->proxy, line);
 	g_free(line);
 }
 
@@ -322,13 +326,13 @@
 	int i;
 
 	g_ptr_array_add(argv, g_strdup("faultproxy"));
-	g_ptr_array_add(argv, g_strdup_printf("store=%d:%d", f->shown_store, f->store));
+	g_ptr_array_add(argv, g_strdup_printf("store=%d:%d", f->advertised_store, f->store));
 	for (i = 0; i < LINE_MEMBERS; i++)
-		g_ptr_array_add(argv, g_strdup_printf("m%d=%d:%d", i, f->shown_member[i],
+		g_ptr_array_add(argv, g_strdup_printf("m%d=%d:%d", i, f->advertised_member[i],
 						      f->member_port[i]));
 	for (i = 0; i < f->n_vms; i++)
-		g_ptr_array_add(argv,
-				g_strdup_printf("vm%d=%d:%d", i, f->vm[i].shown, f->vm[i].rpc));
+		g_ptr_array_add(
+			argv, g_strdup_printf("vm%d=%d:%d", i, f->vm[i].advertised, f->vm[i].rpc));
 	g_ptr_array_add(argv, NULL);
 	test_proxy_start(&f->proxy, f->dir, (char **)argv->pdata);
 	g_ptr_array_unref(argv);
@@ -347,26 +351,27 @@
 	test_free_ports(ports, G_N_ELEMENTS(ports));
 	f->store = ports[n++];
 	f->promoter = ports[n++];
-	f->shown_store = proxied ? ports[n++] : f->store;
+	f->advertised_store = proxied ? ports[n++] : f->store;
 	for (i = 0; i < LINE_MEMBERS; i++) {
 		f->member_port[i] = ports[n++];
-		f->shown_member[i] = proxied ? ports[n++] : f->member_port[i];
+		f->advertised_member[i] = proxied ? ports[n++] : f->member_port[i];
 	}
 	for (i = 0; i < LINE_VMS_MAX; i++) {
 		f->vm[i].caller = ports[n++];
 		f->vm[i].rpc = ports[n++];
-		f->vm[i].shown = proxied ? ports[n++] : f->vm[i].rpc;
+		f->vm[i].advertised = proxied ? ports[n++] : f->vm[i].rpc;
 		f->vm[i].ready = ports[n++];
 		f->vm[i].metrics = ports[n++];
 	}
 	start_standin(f);
 	if (proxied)
 		start_proxy(f);
-	line_document(f);
+	line_write_document(f);
 	for (i = 0; i < vms; i++)
 		line_vm_start(f, i);
 	for (i = 0; i < vms; i++)
-		CHECK(line_write_until(f, i, START_MS), "vm%d does not serve", i);
+		CHECK(line_wait_until_writable(f, i, START_TIMEOUT_MS),
+		      "vm%d does not accept writes", i);
 	return f;
 }
 
@@ -386,8 +391,8 @@
 	int i;
 
 	for (i = 0; i < LINE_VMS_MAX; i++)
-		test_end_process(&f->vm[i].pid);
-	test_end_process(&f->standin);
+		test_kill_process(&f->vm[i].pid);
+	test_kill_process(&f->standin);
 	test_proxy_stop(&f->proxy);
 	if (getenv("KEEP") != NULL) {
 		printf("logs: %s\n", f->dir);
@@ -415,7 +420,7 @@
 	}
 }
 
-/** Read one line into @a line. @return false when none comes */
+/** Reads one line into @a line. @return false if the connection ends or the read times out */
 static bool read_line(struct line_client *c, char *line, size_t size)
 {
 	for (;;) {
@@ -439,7 +444,7 @@
 	}
 }
 
-const char *line_answer(struct line_client *c)
+const char *line_read_answer(struct line_client *c)
 {
 	char line[2048];
 
@@ -457,7 +462,7 @@
 			break;
 		}
 	}
-	/* An error before the session was opened has no READY. */
+	/* An error that comes before the session is open is not followed by READY. */
 	if (c->code[0] == '\0' || strcmp(c->code, "COMPLETE") == 0)
 		c->code[0] = '\0';
 	return c->code;
@@ -469,25 +474,26 @@
 	char start[256];
 
 	memset(c, 0, sizeof(*c));
-	c->fd = dial(f->vm[vm].caller);
+	c->fd = connect_local(f->vm[vm].caller);
 	if (c->fd < 0)
 		return false;
 	g_snprintf(start, sizeof(start), "START %s %s\r\n", database, key);
 	line_send(c, start, strlen(start));
-	line_answer(c);
+	line_read_answer(c);
 	return c->state == 'I';
 }
 
 const char *line_query(struct line_client *c, const char *format, ...)
 {
-	static unsigned long salt;
+	static unsigned long id_base;
 	va_list args;
 	char *text, *line;
 
-	if (salt == 0)
-		salt = (unsigned long)getpid() * 1000003UL + (unsigned long)test_now_us() % 100000;
-	g_snprintf(c->id, sizeof(c->id), "%lx.%x.%x", salt, (unsigned)c->fd, c->next++);
-	salt++;
+	if (id_base == 0)
+		id_base =
+			(unsigned long)getpid() * 1000003UL + (unsigned long)test_now_us() % 100000;
+	g_snprintf(c->id, sizeof(c->id), "%lx.%x.%x", id_base, (unsigned)c->fd, c->next++);
+	id_base++;
 	va_start(args, format);
 	text = g_strdup_vprintf(format, args);
 	va_end(args);
@@ -495,7 +501,7 @@
 	line_send(c, line, strlen(line));
 	g_free(line);
 	g_free(text);
-	return line_answer(c);
+	return line_read_answer(c);
 }
 
 void line_close(struct line_client *c)
--- a/tests/harness-line.h
+++ b/tests/harness-line.h
@@ -1,7 +1,11 @@
 /**
  * @file harness-line.h
- * Real daemons before the stand-in of the prepared platform, and callers that speak the line
- * protocol.
+ * Runs real daemons against standin-prepared, which simulates the prepared platform: its
+ * key-value store, its promoter and the members of one database group. Implements callers that
+ * speak the line protocol.
+ *
+ * A member is a database server of a group. A team is the tenant that a caller's API key belongs
+ * to.
  */
 #ifndef HARNESS_LINE_H
 #define HARNESS_LINE_H
@@ -12,10 +16,10 @@
 
 #define LINE_VMS_MAX 4
 #define LINE_MEMBERS 3
-/** The fleet's key, of the team "clerks". */
+/** API key of the team "clerks". */
 #define LINE_KEY "u3f1secret"
 
-/** The databases that callers ask for, and how their reads are served. */
+/** Databases that callers connect to, by the consistency of their reads. */
 #define LINE_DB_PRIMARY "orders"
 #define LINE_DB_BOUNDED "pages"
 #define LINE_DB_SESSION "visits"
@@ -27,71 +31,80 @@
 	int member_port[LINE_MEMBERS];
 	pid_t standin;
 	struct test_proxy proxy;
-	/** Ports that the others are told; those of the proxy, or the processes' own. */
-	int shown_store, shown_member[LINE_MEMBERS];
+	/** Ports that other processes use: the proxy's, or the real ones without proxy. */
+	int advertised_store, advertised_member[LINE_MEMBERS];
 	struct {
-		int caller, rpc, ready, metrics, shown;
+		int caller, rpc, ready, metrics, advertised;
 		pid_t pid;
 	} vm[LINE_VMS_MAX];
-	int version;	  /**< of the operators' document */
+	int version;	  /**< of the configuration document */
 	const char *keys; /**< JSON list of the team's keys */
 	int rate;
 };
 
 struct line_fleet *line_fleet_start(int vms);
-/** With a faultproxy before the store ("store"), the members ("m0") and the VMs ("vm0"). */
+/**
+ * Starts a fleet with a faultproxy in front of the store (route "store"), the members ("m0"...) and
+ * the VMs ("vm0"...).
+ */
 struct line_fleet *line_fleet_start_proxied(int vms);
-/** A command for a fleet's proxy. */
-void line_route(struct line_fleet *f, const char *format, ...) G_GNUC_PRINTF(2, 3);
+/** Sends a command to the fleet's faultproxy, see faultproxy.c. */
+void line_proxy_command(struct line_fleet *f, const char *format, ...) G_GNUC_PRINTF(2, 3);
 void line_fleet_stop(struct line_fleet *f);
 void line_vm_start(struct line_fleet *f, int vm);
 void line_vm_signal(struct line_fleet *f, int vm, int sig);
-/** Wait for the daemon's end. @return its exit code, or -1 */
+/** Waits up to @a ms for the daemon to exit. @return its exit code, or -1 */
 int line_vm_wait(struct line_fleet *f, int vm, int ms);
-/** Switch a fault of the stand-in, see standin-prepared.c. */
+/** Injects a fault into standin-prepared, see standin-prepared.c. */
 void line_fault(struct line_fleet *f, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/** Write a new version of the operators' document with the fleet's present keys and rate. */
-void line_document(struct line_fleet *f);
-/** A number of the stand-in's report. */
+/** Writes a new version of the configuration document, with the fleet's current keys and rate. */
+void line_write_document(struct line_fleet *f);
+/** Returns a counter from the report of standin-prepared. */
 int64_t line_report(struct line_fleet *f, const char *name);
-/** A number of the stand-in's report on a member. */
+/** Returns a counter of one member from the report of standin-prepared. */
 int64_t line_member_report(struct line_fleet *f, const char *member, const char *name);
-/** How often the newest primary's log holds the request @a id. */
+/** Returns how often the log of the primary with the highest term holds request @a id. */
 int line_log_count(struct line_fleet *f, const char *id);
-/** The same for all: id to number, to g_hash_table_unref(). */
+/**
+ * Counts the requests in the log of the primary with the highest term. @return request id to count;
+ * free with g_hash_table_unref()
+ */
 GHashTable *line_log_counts(struct line_fleet *f);
-/** Name of the member that leads, "" for none. */
+/** Stores the name of the primary with the highest term in @a name; "" if there is none. */
 void line_primary(struct line_fleet *f, char name[32]);
-/** The status code of a GET, e.g. of a VM's ready address; 0 when nothing answers. */
+/**
+ * Sends an HTTP GET, e.g. to a VM's ready address. @param body the body of the answer, to g_free();
+ * may be NULL. @return the status code; 0 if there is no answer
+ */
 int line_get(int port, const char *path, char **body);
-/** What a VM has logged so far, to g_free(). */
-char *line_log(struct line_fleet *f, int vm);
+/** Returns what a VM has logged so far; free with g_free(). */
+char *line_vm_log(struct line_fleet *f, int vm);
 
-/** A caller. */
+/** A caller's connection. */
 struct line_client {
 	int fd;
 	char buf[8192];
 	size_t len;
-	unsigned next;	/**< number of its next request */
+	unsigned next;	/**< number of the next request */
 	char id[32];	/**< of the last request */
-	char code[64];	/**< "COMPLETE", the word of an error, or "" for a lost connection */
-	char text[512]; /**< of an error, or the signature */
+	char code[64];	/**< "COMPLETE", an error code, or "" for a lost connection */
+	char text[512]; /**< text of an error, or the signature of a completed statement */
 	char row[512];
 	char state;
 	char pos[32];
 };
 
-/** Connect. @return whether the session was opened; else c->code tells why not */
+/** Connects. @return whether the session was opened; if not, c->code holds the error code */
 bool line_connect(struct line_client *c, struct line_fleet *f, int vm, const char *database,
 		  const char *key);
-/** Run a statement and wait for its answer. @return c->code */
+/** Runs a statement and waits for the answer. @return c->code */
 const char *line_query(struct line_client *c, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/** Send bytes as they are. */
+/** Sends bytes without framing them. */
 void line_send(struct line_client *c, const char *bytes, size_t len);
-/** Read one answer, up to its READY. @return c->code */
-const char *line_answer(struct line_client *c);
+/** Reads one answer, up to its READY line. @return c->code */
+const char *line_read_answer(struct line_client *c);
 void line_close(struct line_client *c);
-/** Connect and write one item until it works, for @a ms at most. @return whether it did */
-bool line_write_until(struct line_fleet *f, int vm, int ms);
+/** Connects and writes one item, and retries for up to @a ms. @return whether a write succeeded */
+bool line_wait_until_writable(struct line_fleet *f, int vm, int ms);
 
 #endif
--- a/tests/harness-sql.c
+++ b/tests/harness-sql.c
@@ -1,6 +1,7 @@
 /**
- * @file harness-sql.c Statements of the tests, and threads that write orders and compare them with
- * the databases.
+ * @file harness-sql.c
+ * Runs SQL statements for tests. Runs threads that write orders, and compares the outcomes that
+ * they received with the contents of the database.
  */
 #include "harness.h"
 
@@ -13,48 +14,48 @@
 
 /* Statements */
 
-static __thread char noted_state[6], noted_detail[256];
+static __thread char notice_state[6], notice_detail[256];
 
 /**
- * libpq takes a FATAL that comes between two statements as a notice, and fails the next statement
- * without a state.
+ * Saves the SQLSTATE of a FATAL error that arrives between two statements. libpq reports such an
+ * error as a notice, and fails the next statement without an SQLSTATE.
  */
-static void note_fatal(void *arg, const PGresult *r)
+static void save_fatal_notice(void *arg, const PGresult *r)
 {
 	const char *state = PQresultErrorField(r, PG_DIAG_SQLSTATE);
 	const char *detail = PQresultErrorField(r, PG_DIAG_MESSAGE_DETAIL);
 
-	g_strlcpy(noted_state, state != NULL ? state : "", sizeof(noted_state));
-	g_strlcpy(noted_detail, detail != NULL ? detail : "", sizeof(noted_detail));
+	g_strlcpy(notice_state, state != NULL ? state : "", sizeof(notice_state));
+	g_strlcpy(notice_detail, detail != NULL ? detail : "", sizeof(notice_detail));
 }
 
 PGconn *fleet_connect(struct test_fleet *f, int vm, const char *team, const char *key,
 		      const char *options)
 {
 	char port[16];
-	const char *names[] = {"hostaddr", "port",    "user",	    "password", "dbname",
-			       "options",  "sslmode", "gssencmode", NULL};
+	const char *keywords[] = {"hostaddr", "port",	 "user",       "password", "dbname",
+				  "options",  "sslmode", "gssencmode", NULL};
 	const char *values[] = {"127.0.0.1", port,	team,	   key, "shop",
 				options,     "disable", "disable", NULL};
 
 	PGconn *c;
 
 	g_snprintf(port, sizeof(port), "%d", f->vm[vm].caller);
-	c = PQconnectStartParams(names, values, 0);
-	PQsetNoticeReceiver(c, note_fatal, NULL);
+	c = PQconnectStartParams(keywords, values, 0);
+	PQsetNoticeReceiver(c, save_fatal_notice, NULL);
 	while (PQstatus(c) != CONNECTION_BAD) {
-		PostgresPollingStatusType want = PQconnectPoll(c);
+		PostgresPollingStatusType polling = PQconnectPoll(c);
 		struct pollfd p = {.fd = PQsocket(c),
-				   .events = want == PGRES_POLLING_READING ? POLLIN : POLLOUT};
+				   .events = polling == PGRES_POLLING_READING ? POLLIN : POLLOUT};
 
-		if (want == PGRES_POLLING_OK || want == PGRES_POLLING_FAILED)
+		if (polling == PGRES_POLLING_OK || polling == PGRES_POLLING_FAILED)
 			break;
 		poll(&p, 1, 10000);
 	}
 	return c;
 }
 
-PGconn *fleet_orders(struct test_fleet *f, int vm)
+PGconn *fleet_connect_orders(struct test_fleet *f, int vm)
 {
 	return fleet_connect(f, vm, "clerks", f->key, "-c mangoloom.kind=order");
 }
@@ -78,24 +79,24 @@
 }
 
 /**
- * As PQexec(), but the first error counts: a FATAL, and not the end of the connection that follows
- * it.
+ * Works as PQexec(), but returns the first error: a FATAL error rather than the loss of the
+ * connection that follows it.
  */
-static PGresult *run_statement(PGconn *c, const char *text)
+static PGresult *exec_keep_first_error(PGconn *c, const char *text)
 {
-	PGresult *kept = NULL, *r;
+	PGresult *result = NULL, *r;
 
 	if (!PQsendQuery(c, text))
 		return PQmakeEmptyPGresult(c, PGRES_FATAL_ERROR);
 	while ((r = PQgetResult(c)) != NULL) {
-		if (kept != NULL && PQresultStatus(kept) == PGRES_FATAL_ERROR) {
+		if (result != NULL && PQresultStatus(result) == PGRES_FATAL_ERROR) {
 			PQclear(r);
 			continue;
 		}
-		PQclear(kept);
-		kept = r;
+		PQclear(result);
+		result = r;
 	}
-	return kept != NULL ? kept : PQmakeEmptyPGresult(c, PGRES_FATAL_ERROR);
+	return result != NULL ? result : PQmakeEmptyPGresult(c, PGRES_FATAL_ERROR);
 }
 
 const char *sql(PGconn *c, char *value, size_t size, const char *format, ...)
@@ -109,7 +110,7 @@
 	va_start(args, format);
 	text = g_strdup_vprintf(format, args);
 	va_end(args);
-	r = run_statement(c, text);
+	r = exec_keep_first_error(c, text);
 	g_free(text);
 	g_strlcpy(state, "00000", sizeof(state));
 	last_detail[0] = '\0';
@@ -118,10 +119,10 @@
 		g_strlcpy(state, field != NULL ? field : "08006", sizeof(state));
 		field = PQresultErrorField(r, PG_DIAG_MESSAGE_DETAIL);
 		g_strlcpy(last_detail, field != NULL ? field : "", sizeof(last_detail));
-		if (strcmp(state, "08006") == 0 && noted_state[0] != '\0') {
-			g_strlcpy(state, noted_state, sizeof(state));
-			g_strlcpy(last_detail, noted_detail, sizeof(last_detail));
-			noted_state[0] = '\0';
+		if (strcmp(state, "08006") == 0 && notice_state[0] != '\0') {
+			g_strlcpy(state, notice_state, sizeof(state));
+			g_strlcpy(last_detail, notice_detail, sizeof(last_detail));
+			notice_state[0] = '\0';
 		}
 	}
 	if (value != NULL)
@@ -157,37 +158,37 @@
 
 int64_t fleet_status(struct test_fleet *f, int vm, const char *name)
 {
-	char *wanted = g_strdup_printf("\"%s\":", name);
+	char *label = g_strdup_printf("\"%s\":", name);
 	int64_t value = -1;
 	char *out, *at;
 
 	fleet_cli(f, &out, "status %s --json", f->vm[vm].name);
-	at = strstr(out, wanted);
+	at = strstr(out, label);
 	if (at != NULL)
-		value = strtoll(at + strlen(wanted), NULL, 10);
+		value = strtoll(at + strlen(label), NULL, 10);
 	g_free(out);
-	g_free(wanted);
+	g_free(label);
 	return value;
 }
 
 /* Writers */
 
-static void writer_note(struct writer *w, const char *state)
+static void writer_record(struct writer *w, const char *state)
 {
-	enum told told = TOLD_UNKNOWN;
+	enum write_outcome outcome = WRITE_UNKNOWN;
 	int64_t now = test_now_us();
 
 	if (strcmp(state, "00000") == 0) {
-		told = TOLD_ACKED;
+		outcome = WRITE_ACKED;
 		w->acked++;
 		if (w->last_ack_us != 0 && now - w->last_ack_us > w->gap_us)
 			w->gap_us = now - w->last_ack_us;
 		w->last_ack_us = now;
 	} else if (strcmp(state, "57P01") == 0 && strcmp(last_detail, "not run") == 0) {
-		told = TOLD_NOT_RUN;
+		outcome = WRITE_NOT_RUN;
 		w->stopped++;
 	} else if (strcmp(last_detail, "not run") == 0) {
-		told = TOLD_NOT_RUN;
+		outcome = WRITE_NOT_RUN;
 		w->not_run++;
 		if (getenv("VERBOSE") != NULL)
 			printf("%s-%u: %s not run\n", w->prefix, w->told->len, state);
@@ -198,7 +199,7 @@
 		if (getenv("VERBOSE") != NULL)
 			printf("%s-%u: %s %s\n", w->prefix, w->told->len, state, last_detail);
 	}
-	g_array_append_val(w->told, told);
+	g_array_append_val(w->told, outcome);
 }
 
 static gpointer writer_run(gpointer data)
@@ -214,7 +215,7 @@
 		if (c == NULL || PQstatus(c) != CONNECTION_OK) {
 			if (c != NULL) {
 				PQfinish(c);
-				w->lost_conn++;
+				w->lost_connections++;
 				test_sleep_ms(20);
 			}
 			if (w->roam)
@@ -230,9 +231,9 @@
 			    w->told->len);
 		if (test_now_us() - start > w->wait_max_us)
 			w->wait_max_us = test_now_us() - start;
-		writer_note(w, state);
+		writer_record(w, state);
 		if (strcmp(state, "57P01") == 0) {
-			/* Told to go: libpq may not have seen the end of the connection yet. */
+			/* Session terminated; libpq may not have seen the close yet. */
 			PQfinish(c);
 			c = NULL;
 		}
@@ -252,7 +253,7 @@
 	w->key = w->key != NULL ? w->key : f->key;
 	w->options = w->options != NULL ? w->options : "-c mangoloom.kind=order";
 	g_strlcpy(w->prefix, prefix, sizeof(w->prefix));
-	w->told = g_array_new(FALSE, TRUE, sizeof(enum told));
+	w->told = g_array_new(FALSE, TRUE, sizeof(enum write_outcome));
 	w->thread = g_thread_new("writer", writer_run, w);
 }
 
@@ -269,26 +270,28 @@
 
 void writers_verify(struct test_fleet *f, struct writer *w, int n)
 {
-	unsigned lost = 0, doubled = 0, untrue = 0, i;
+	unsigned lost = 0, duplicated = 0, wrongly_not_run = 0, i;
 	PGconn *c;
 	int k;
 
-	CHECK(wait_until(has_primary, f, NULL, 15000), "nobody leads");
+	CHECK(wait_until(has_primary, f, NULL, 15000), "no primary within 15 s");
 	c = member_connect(f, fleet_primary(f));
 	for (k = 0; k < n; k++) {
 		for (i = 0; i < w[k].told->len; i++) {
-			enum told told = g_array_index(w[k].told, enum told, i);
+			enum write_outcome outcome =
+				g_array_index(w[k].told, enum write_outcome, i);
 			char count[32];
 
 			sql(c, count, sizeof(count),
 			    "SELECT count(*) FROM orders WHERE key = '%s-%u'", w[k].prefix, i);
-			lost += told == TOLD_ACKED && atoi(count) == 0;
-			untrue += told == TOLD_NOT_RUN && atoi(count) > 0;
-			doubled += atoi(count) > 1;
+			lost += outcome == WRITE_ACKED && atoi(count) == 0;
+			wrongly_not_run += outcome == WRITE_NOT_RUN && atoi(count) > 0;
+			duplicated += atoi(count) > 1;
 		}
 		g_array_unref(w[k].told);
 	}
 	PQfinish(c);
-	CHECK(lost == 0 && doubled == 0 && untrue == 0,
-	      "lost %u, doubled %u, \"not run\" but there %u", lost, doubled, untrue);
+	CHECK(lost == 0 && duplicated == 0 && wrongly_not_run == 0,
+	      "acknowledged but lost: %u, duplicated: %u, reported as not run but present: %u",
+	      lost, duplicated, wrongly_not_run);
 }
--- a/tests/harness-writer.c
+++ b/tests/harness-writer.c
@@ -1,17 +1,18 @@
-/** @file harness-writer.c Callers that write while things fail. */
+/** @file harness-writer.c Writes through the line protocol while a test injects faults. */
 #include "harness-writer.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-static bool means_not_run(const char *code)
+static bool code_means_not_run(const char *code)
 {
 	return strcmp(code, "BUSY") == 0 || strcmp(code, "ABORTED") == 0 ||
 	       strcmp(code, "LAGGING") == 0;
 }
 
-static void note(struct line_writer *w, const struct line_client *c, int number)
+/** Records the outcome of write @a number. */
+static void add_record(struct line_writer *w, const struct line_client *c, int number)
 {
 	int64_t now = test_now_ms();
 
@@ -21,18 +22,19 @@
 		if (now - w->last_ack_ms > w->gap_ms)
 			w->gap_ms = now - w->last_ack_ms;
 		w->last_ack_ms = now;
-	} else if (means_not_run(c->code)) {
+	} else if (code_means_not_run(c->code)) {
 		g_ptr_array_add(w->not_run, g_strdup(c->id));
 	} else {
 		w->unknown++;
-		g_hash_table_add(w->may_come, GINT_TO_POINTER(number));
+		g_hash_table_add(w->uncertain_writes, GINT_TO_POINTER(number));
 	}
 }
 
 /**
- * The session's own write has to be seen. One that only a lost primary had is gone with it: an
- * older value is right once for each promotion. A write whose outcome was not known may still run
- * later, once, and is the newest one then: a VM that was paused sent one on after four seconds.
+ * Checks that the session reads its own newest write. Two cases are not stale reads: a write that
+ * had not been replicated is lost with the old primary, so an older value is valid once per
+ * promotion; and a write of unknown outcome may still run later, once, and then is the newest one
+ * (a VM that had been paused forwarded such a write after four seconds).
  */
 static void read_back(struct line_writer *w, struct line_client *c)
 {
@@ -40,7 +42,7 @@
 
 	if (strcmp(line_query(c, "READ w%d", w->vm), "COMPLETE") != 0 || atoi(c->row) >= w->newest)
 		return;
-	if (g_hash_table_remove(w->may_come, GINT_TO_POINTER(atoi(c->row)))) {
+	if (g_hash_table_remove(w->uncertain_writes, GINT_TO_POINTER(atoi(c->row)))) {
 		w->newest = atoi(c->row);
 		return;
 	}
@@ -68,7 +70,7 @@
 			continue;
 		}
 		line_query(&c, "WRITE w%d %d", w->vm, ++n);
-		note(w, &c, n);
+		add_record(w, &c, n);
 		if (w->reads_back && c.state == 'I' && strcmp(c.code, "COMPLETE") == 0)
 			read_back(w, &c);
 		if (c.code[0] == '\0' || c.state != 'I')
@@ -88,7 +90,7 @@
 	w->promotions = line_report(f, "promotions");
 	w->acked = g_ptr_array_new_with_free_func(g_free);
 	w->not_run = g_ptr_array_new_with_free_func(g_free);
-	w->may_come = g_hash_table_new(NULL, NULL);
+	w->uncertain_writes = g_hash_table_new(NULL, NULL);
 	w->last_ack_ms = test_now_ms();
 	w->thread = g_thread_new("writer", writer_run, w);
 }
@@ -98,7 +100,7 @@
 	start(w, f, vm, false);
 }
 
-void line_writer_start_reading(struct line_writer *w, struct line_fleet *f, int vm)
+void line_writer_start_read_back(struct line_writer *w, struct line_fleet *f, int vm)
 {
 	start(w, f, vm, true);
 }
@@ -113,7 +115,8 @@
 	counts = line_log_counts(w->f);
 	for (i = 0; i < w->not_run->len; i++)
 		CHECK(g_hash_table_lookup(counts, g_ptr_array_index(w->not_run, i)) == NULL,
-		      "%s was told as not run", (char *)g_ptr_array_index(w->not_run, i));
+		      "%s was reported as not run but is in the log",
+		      (char *)g_ptr_array_index(w->not_run, i));
 	for (i = 0; i < w->acked->len; i++)
 		CHECK(GPOINTER_TO_INT(
 			      g_hash_table_lookup(counts, g_ptr_array_index(w->acked, i))) <= 1,
@@ -123,5 +126,5 @@
 	g_hash_table_unref(counts);
 	g_ptr_array_unref(w->acked);
 	g_ptr_array_unref(w->not_run);
-	g_hash_table_unref(w->may_come);
+	g_hash_table_unref(w->uncertain_writes);
 }
--- a/tests/harness-writer.h
+++ b/tests/harness-writer.h
@@ -1,6 +1,6 @@
 /**
  * @file harness-writer.h
- * A caller that writes in a thread of its own and notes how each of its statements ended.
+ * A caller that writes in its own thread and records the outcome of each statement.
  */
 #ifndef HARNESS_WRITER_H
 #define HARNESS_WRITER_H
@@ -12,21 +12,25 @@
 	GThread *thread;
 	int vm;
 	volatile int stop;
-	bool reads_back;	    /**< it reads each of its writes again, which has to be seen */
-	GPtrArray *acked, *not_run; /**< ids */
-	GHashTable *may_come;	    /**< numbers of writes whose outcome is not known */
+	bool reads_back;	    /**< reads back each write and checks that the value is found */
+	GPtrArray *acked, *not_run; /**< request ids */
+	GHashTable *uncertain_writes; /**< numbers of writes of unknown outcome */
 	int unknown;
-	int newest; /**< number that its last acknowledged write wrote */
-	int stale;  /**< reads that showed an older one, without a promotion to explain it */
-	int64_t promotions; /**< that are known to it */
-	int64_t last_ack_ms, gap_ms;
+	int newest;	    /**< number written by the last acknowledged write */
+	int stale;	    /**< reads of an older number that no promotion explains */
+	int64_t promotions; /**< promotions counted at the last check */
+	int64_t last_ack_ms;
+	int64_t gap_ms; /**< longest time between two acknowledged writes */
 };
 
-/** Begin to write through @a vm. */
+/** Starts writing through @a vm. */
 void line_writer_start(struct line_writer *w, struct line_fleet *f, int vm);
-/** The same; each write is read back at once, by the session that wrote it. */
-void line_writer_start_reading(struct line_writer *w, struct line_fleet *f, int vm);
-/** Wait for its end, and check: what was told as not run is in no log, nothing is there twice. */
+/** Starts writing through @a vm; each write is read back at once in the same session. */
+void line_writer_start_read_back(struct line_writer *w, struct line_fleet *f, int vm);
+/**
+ * Stops the writer and checks the primary's log: writes reported as not run are not in it, and no
+ * acknowledged write is in it twice.
+ */
 void line_writer_stop(struct line_writer *w);
 
 #endif
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -1,4 +1,4 @@
-/** @file harness.c Runner of tests, and a fleet of real processes. */
+/** @file harness.c Runs CUnit test cases, and fleets of real processes for integration tests. */
 #include "harness.h"
 
 #include <CUnit/Basic.h>
@@ -21,7 +21,7 @@
 
 #define START_TIMEOUT_MS 20000
 
-/* The runner */
+/* Test runner */
 
 int harness_run(const char *suite, const struct test_case *cases, unsigned n, int argc, char **argv)
 {
@@ -92,7 +92,7 @@
 
 /* Processes */
 
-/** Below the range from which Linux gives ports to outgoing connections. */
+/** Ports below the default range of ephemeral ports of Linux. */
 #define PORT_MIN 10000
 #define PORT_MAX 32000
 
@@ -109,10 +109,10 @@
 }
 
 /*
- * Between the choice of a port and the start of the process that listens on it, another program's
- * outgoing connection could take it: the process ended at once and the test saw no service. Ports
- * outside of that range, from a random place on, are only lost to a second fleet that starts at the
- * same place.
+ * Between the choice of a port and the start of the process that listens on it, an outgoing
+ * connection of another program could take an ephemeral port; the process then exited at once and
+ * the test failed. Ports below the ephemeral range, starting at a random one, can only collide with
+ * those of another fleet that starts near the same number.
  */
 void test_free_ports(int *ports, int n)
 {
@@ -142,7 +142,7 @@
 
 	posix_spawn_file_actions_init(&actions);
 	posix_spawn_file_actions_addopen(&actions, 2, err, O_WRONLY | O_CREAT | O_APPEND, 0600);
-	/* A process that outlives a stopped test must not hold the test's own output open. */
+	/* A process that outlives its test must not keep the test's standard output open. */
 	posix_spawn_file_actions_adddup2(&actions, 2, 1);
 	if (in >= 0)
 		posix_spawn_file_actions_adddup2(&actions, in, 0);
@@ -161,7 +161,7 @@
 	return test_spawn(f->dir, log, argv, in, out);
 }
 
-static pid_t spawn_words(struct test_fleet *f, const char *log, const char *line)
+static pid_t spawn_command(struct test_fleet *f, const char *log, const char *line)
 {
 	char **argv = g_strsplit(line, " ", -1);
 	pid_t pid = spawn(f, log, argv, -1, -1);
@@ -170,7 +170,7 @@
 	return pid;
 }
 
-void test_end_process(pid_t *pid)
+void test_kill_process(pid_t *pid)
 {
 	if (*pid <= 0)
 		return;
@@ -179,7 +179,7 @@
 	*pid = 0;
 }
 
-/* The fleet's parts */
+/* Parts of a fleet */
 
 char *fleet_file(struct test_fleet *f, const char *name, const char *text)
 {
@@ -189,13 +189,13 @@
 	return path;
 }
 
-static char *vms_json(struct test_fleet *f, int missing)
+static char *vms_json(struct test_fleet *f, int omitted)
 {
 	GString *out = g_string_new("[");
 	int i;
 
 	for (i = 0; i < f->plan.vms; i++) {
-		if (i == missing)
+		if (i == omitted)
 			continue;
 		g_string_append_printf(
 			out,
@@ -207,7 +207,7 @@
 	return g_string_free(out, FALSE);
 }
 
-/** POST @a body to the platform. */
+/** Sends @a body to standin-platform by HTTP POST. */
 static void platform_post(struct test_fleet *f, const char *path, const char *body)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
@@ -219,19 +219,19 @@
 	sin.sin_port = htons((uint16_t)f->platform_port);
 	if (connect(fd, (struct sockaddr *)&sin, sizeof(sin)) != 0 ||
 	    write(fd, text, strlen(text)) < 0 || read(fd, answer, sizeof(answer)) <= 0)
-		printf("the stand-in platform does not answer\n");
+		printf("standin-platform does not answer\n");
 	close(fd);
 	g_free(text);
 }
 
-void fleet_platform(struct test_fleet *f, const char *json)
+void fleet_platform_fault(struct test_fleet *f, const char *json)
 {
 	platform_post(f, "/control", json);
 }
 
-void fleet_list_vms(struct test_fleet *f, int missing)
+void fleet_list_vms(struct test_fleet *f, int omitted)
 {
-	char *json = vms_json(f, missing);
+	char *json = vms_json(f, omitted);
 	char *value = g_base64_encode((const guchar *)json, strlen(json));
 	char *key = g_base64_encode((const guchar *)"platform/vms", 12);
 	char *body = g_strdup_printf("{\"compare\":[],\"success\":[{\"request_put\":{\"key\":\"%"
@@ -258,7 +258,7 @@
 	p->out = out[0];
 }
 
-void test_proxy_tell(struct test_proxy *p, const char *line)
+void test_proxy_command(struct test_proxy *p, const char *line)
 {
 	char *text = g_strconcat(line, "\n", NULL);
 	char answer[8];
@@ -272,7 +272,7 @@
 {
 	if (p->pid == 0)
 		return;
-	test_end_process(&p->pid);
+	test_kill_process(&p->pid);
 	close(p->in);
 	close(p->out);
 }
@@ -285,11 +285,11 @@
 	va_start(args, format);
 	line = g_strdup_vprintf(format, args);
 	va_end(args);
-	test_proxy_tell(&f->proxy, line);
+	test_proxy_command(&f->proxy, line);
 	g_free(line);
 }
 
-void fleet_cut(struct test_fleet *f, const char *dc, bool cut)
+void fleet_partition(struct test_fleet *f, const char *dc, bool partitioned)
 {
 	int i, j;
 
@@ -299,21 +299,21 @@
 		g_snprintf(other, sizeof(other), "dc%d", i + 1);
 		if (strcmp(other, dc) == 0)
 			continue;
-		/* What comes from outside into the data centre, and from it to outside. */
+		/* Block the connections into the data centre and out of it. */
 		for (j = 0; j < f->plan.vms; j++) {
 			if (strcmp(f->vm[j].dc, dc) == 0)
-				fleet_fault(f, "%s %s %s-", cut ? "hold" : "pass", f->vm[j].name,
-					    other);
+				fleet_fault(f, "%s %s %s-", partitioned ? "hold" : "pass",
+					    f->vm[j].name, other);
 			else if (strcmp(f->vm[j].dc, other) == 0)
-				fleet_fault(f, "%s %s %s-", cut ? "hold" : "pass", f->vm[j].name,
-					    dc);
+				fleet_fault(f, "%s %s %s-", partitioned ? "hold" : "pass",
+					    f->vm[j].name, dc);
 		}
 		for (j = 0; j < f->n_members; j++) {
 			if (strcmp(f->member[j].dc, dc) == 0)
-				fleet_fault(f, "%s %s %s-", cut ? "hold" : "pass",
+				fleet_fault(f, "%s %s %s-", partitioned ? "hold" : "pass",
 					    f->member[j].name, other);
 			else if (strcmp(f->member[j].dc, other) == 0)
-				fleet_fault(f, "%s %s %s-", cut ? "hold" : "pass",
+				fleet_fault(f, "%s %s %s-", partitioned ? "hold" : "pass",
 					    f->member[j].name, dc);
 		}
 	}
@@ -338,19 +338,19 @@
 
 static void start_member(struct test_fleet *f, int i)
 {
-	int leader = i / 3 * 3;
+	int primary = i / 3 * 3;
 	char *line = g_strdup_printf("standin-db --name %s --address 127.0.0.1:%d --slots %d "
 				     "--connections %d --work-us %d --lag-ms %d",
 				     f->member[i].name, f->member[i].port, f->plan.slots,
 				     f->plan.connections, f->plan.work_us, f->plan.lag_ms);
-	char *all = i == leader
-			    ? g_strdup_printf("%s --primary", line)
-			    : g_strdup_printf("%s --follow %s --upstream 127.0.0.1:%d", line,
-					      f->member[leader].name, f->member[leader].proxied);
+	char *command_line =
+		i == primary ? g_strdup_printf("%s --primary", line)
+			     : g_strdup_printf("%s --follow %s --upstream 127.0.0.1:%d", line,
+					       f->member[primary].name, f->member[primary].proxied);
 
-	f->member[i].pid = spawn_words(f, f->member[i].name, all);
+	f->member[i].pid = spawn_command(f, f->member[i].name, command_line);
 	g_free(line);
-	g_free(all);
+	g_free(command_line);
 }
 
 void fleet_vm_start(struct test_fleet *f, int i)
@@ -380,7 +380,7 @@
 {
 	kill(f->vm[vm].pid, sig);
 	if (sig == SIGKILL)
-		test_end_process(&f->vm[vm].pid);
+		test_kill_process(&f->vm[vm].pid);
 }
 
 int fleet_vm_wait(struct test_fleet *f, int vm)
@@ -396,14 +396,15 @@
 {
 	kill(f->member[member].pid, sig);
 	if (sig == SIGKILL)
-		test_end_process(&f->member[member].pid);
+		test_kill_process(&f->member[member].pid);
 }
 
 int fleet_cli(struct test_fleet *f, char **out, const char *args, ...)
 {
-	char *fixed = g_strdup_printf("mangoloom --platform 127.0.0.1:%d --secret-file %s/secret ",
-				      f->platform_port, f->dir);
-	char *words, *line, **argv;
+	char *common_args =
+		g_strdup_printf("mangoloom --platform 127.0.0.1:%d --secret-file %s/secret ",
+				f->platform_port, f->dir);
+	char *command, *line, **argv;
 	GString *text = g_string_new(NULL);
 	char buf[4096];
 	int status, fds[2];
@@ -412,9 +413,9 @@
 	pid_t pid;
 
 	va_start(ap, args);
-	words = g_strdup_vprintf(args, ap);
+	command = g_strdup_vprintf(args, ap);
 	va_end(ap);
-	line = g_strconcat(fixed, words, NULL);
+	line = g_strconcat(common_args, command, NULL);
 	argv = g_strsplit(line, " ", -1);
 	if (pipe2(fds, O_CLOEXEC) != 0)
 		abort();
@@ -426,8 +427,8 @@
 	waitpid(pid, &status, 0);
 	g_strfreev(argv);
 	g_free(line);
-	g_free(words);
-	g_free(fixed);
+	g_free(command);
+	g_free(common_args);
 	if (out != NULL)
 		*out = g_string_free(text, FALSE);
 	else
@@ -435,7 +436,7 @@
 	return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-char *fleet_key(struct test_fleet *f, const char *team)
+char *fleet_create_key(struct test_fleet *f, const char *team)
 {
 	char *out = NULL;
 
@@ -481,7 +482,7 @@
 	p->routes = p->routes != NULL ? p->routes : default_routes;
 }
 
-static void name_parts(struct test_fleet *f)
+static void assign_names_and_ports(struct test_fleet *f)
 {
 	int ports[128];
 	int i, n = 0;
@@ -492,14 +493,14 @@
 		g_snprintf(f->member[i].dc, 32, "dc%d", (i + i / 3) % f->plan.data_centers + 1);
 		g_snprintf(f->member[i].name, 32, "%s-db%d", f->member[i].dc, i);
 		f->member[i].port = ports[n++];
-		f->member[i].proxied = f->plan.keep_members ? f->member[i].port : ports[n++];
+		f->member[i].proxied = f->plan.bypass_proxy ? f->member[i].port : ports[n++];
 	}
 	for (i = 0; i < f->plan.vms; i++) {
 		g_snprintf(f->vm[i].dc, 32, "dc%d", i % f->plan.data_centers + 1);
 		g_snprintf(f->vm[i].name, 32, "%s-vm%d", f->vm[i].dc, i);
 		f->vm[i].caller = ports[n++];
 		f->vm[i].rpc = ports[n++];
-		f->vm[i].proxied = f->plan.keep_members ? f->vm[i].rpc : ports[n++];
+		f->vm[i].proxied = f->plan.bypass_proxy ? f->vm[i].rpc : ports[n++];
 	}
 }
 
@@ -520,7 +521,7 @@
 	return true;
 }
 
-static bool applied(struct test_fleet *f, void *arg)
+static bool tables_applied(struct test_fleet *f, void *arg)
 {
 	return fleet_cli(f, NULL, "apply --routes %s/routes.toml --pools %s/pools.toml", f->dir,
 			 f->dir) == 0;
@@ -536,7 +537,7 @@
 	plan_defaults(&f->plan);
 	f->n_members = f->plan.pools * 3;
 	f->dir = g_dir_make_tmp("mangoloom-test-XXXXXX", NULL);
-	name_parts(f);
+	assign_names_and_ports(f);
 	vms = vms_json(f, -1);
 	g_free(fleet_file(f, "vms.json", vms));
 	g_free(fleet_file(f, "secret", "test"));
@@ -545,20 +546,20 @@
 	g_free(fleet_file(f, "pools.toml", f->pools_toml));
 	line = g_strdup_printf("standin-platform --port %d --vms %s/vms.json", f->platform_port,
 			       f->dir);
-	f->platform = spawn_words(f, "platform", line);
-	if (!f->plan.keep_members)
+	f->platform = spawn_command(f, "platform", line);
+	if (!f->plan.bypass_proxy)
 		start_proxy(f);
 	for (i = 0; i < f->n_members; i++)
 		start_member(f, i);
 	for (i = 0; i < f->plan.vms; i++)
 		fleet_vm_start(f, i);
-	CHECK(wait_until(applied, f, NULL, START_TIMEOUT_MS),
-	      "the tables cannot be applied; see %s", f->dir);
-	key = fleet_key(f, "clerks");
+	CHECK(wait_until(tables_applied, f, NULL, START_TIMEOUT_MS),
+	      "routes and pools cannot be applied; see %s", f->dir);
+	key = fleet_create_key(f, "clerks");
 	g_strlcpy(f->key, key, sizeof(f->key));
 	if (f->plan.routes == default_routes)
 		CHECK(wait_until(orders_served, f, NULL, START_TIMEOUT_MS),
-		      "no orders are served; see %s", f->dir);
+		      "not all VMs accept orders; see %s", f->dir);
 	g_free(key);
 	g_free(line);
 	g_free(vms);
@@ -571,10 +572,10 @@
 	int i;
 
 	for (i = 0; i < f->plan.vms; i++)
-		test_end_process(&f->vm[i].pid);
+		test_kill_process(&f->vm[i].pid);
 	for (i = 0; i < f->n_members; i++)
-		test_end_process(&f->member[i].pid);
-	test_end_process(&f->platform);
+		test_kill_process(&f->member[i].pid);
+	test_kill_process(&f->platform);
 	test_proxy_stop(&f->proxy);
 	if (keep) {
 		printf("logs are kept in %s\n", f->dir);
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,7 +1,11 @@
 /**
  * @file harness.h
- * What the test programs share: a CUnit runner that closes with "N passed, N failed", and, for
- * integration tests, real processes on loopback behind one faultproxy.
+ * Shared by the test programs: a CUnit runner whose last line is "N passed, N failed", and, for
+ * integration tests, fleets of real processes on loopback whose connections pass through one
+ * faultproxy.
+ *
+ * A pool is a database group as configured; a member is a database server of a group. A team is the
+ * tenant that a caller's key belongs to.
  */
 #ifndef HARNESS_H
 #define HARNESS_H
@@ -18,7 +22,7 @@
 	void (*run)(void);
 };
 
-/** Run the cases, or only those named on the command line. @return the program's exit code */
+/** Runs all cases, or those named on the command line. @return the program's exit code */
 int harness_run(const char *suite, const struct test_case *cases, unsigned n, int argc,
 		char **argv);
 #define HARNESS_MAIN(suite, cases)                                                                 \
@@ -27,7 +31,7 @@
 		return harness_run(suite, cases, sizeof(cases) / sizeof(cases[0]), argc, argv);    \
 	}
 
-/** Fail the test, with what was found, without ending it. */
+/** Fails the test with a message if @a cond is false; the test goes on. */
 #define CHECK(cond, ...)                                                                           \
 	do {                                                                                       \
 		bool check_ok = (cond);                                                            \
@@ -39,7 +43,7 @@
 		CU_ASSERT(check_ok);                                                               \
 	} while (0)
 
-/** Routes to the first pool, for tables with teams of their own. */
+/** Routes to the first pool, for tests that configure their own teams. */
 #define HARNESS_ROUTES                                                                             \
 	"[[route]]\nname = \"orders\"\nkind = \"order\"\npool = \"pool1\"\n"                       \
 	"[[route]]\nname = \"own\"\nkind = \"own\"\npool = \"pool1\"\nwrite = false\n"
@@ -47,23 +51,23 @@
 #define FLEET_VMS_MAX 32
 #define FLEET_MEMBERS_MAX 9
 
-/** A fleet to start. Zeroes mean the defaults in brackets. */
+/** Configuration of a fleet. Zero stands for the default in brackets. */
 struct fleet_plan {
-	int data_centers; /**< [3] */
-	int vms;	  /**< in all, spread over the data centres [3] */
-	int pools;	  /**< of three members each, spread likewise [1] */
-	int slots;	  /**< [2] */
-	int connections;  /**< [16] */
-	int work_us;	  /**< of one statement */
-	int lag_ms;
-	const char *confirm; /**< ["replica"] */
-	const char *routes; /**< TOML; [orders and pages of the first pool, team "clerks" at 100,000
-			       a second] */
+	int data_centers;    /**< [3] */
+	int vms;	     /**< total, spread over the data centres [3] */
+	int pools;	     /**< of three members each, spread over the data centres [1] */
+	int slots;	     /**< concurrent statements of a member [2] */
+	int connections;     /**< connections that a member accepts [16] */
+	int work_us;	     /**< execution time of a statement */
+	int lag_ms;	     /**< apply delay of replicas */
+	const char *confirm; /**< when a commit is confirmed ["replica"] */
+	const char *routes; /**< TOML [orders and reads of the first pool, team "clerks" with a rate
+			       of 100,000 per second] */
 	const char *settings; /**< TOML appended to each daemon's settings */
-	bool keep_members;    /**< not proxied: for measurements */
+	bool bypass_proxy;    /**< connect without the faultproxy: for measurements */
 };
 
-/** A faultproxy. */
+/** A running faultproxy. */
 struct test_proxy {
 	pid_t pid;
 	int in, out;
@@ -72,21 +76,21 @@
 struct test_fleet {
 	struct fleet_plan plan;
 	char *dir;
-	int platform_port;
+	int platform_port; /**< of standin-platform */
 	pid_t platform;
 	struct test_proxy proxy;
 	int n_members;
 	struct {
 		char name[32], dc[32];
-		int port, proxied;
+		int port, proxied; /**< its own port, and the proxy's port for it */
 		pid_t pid;
 	} member[FLEET_MEMBERS_MAX];
 	struct {
 		char name[32], dc[32];
-		int caller, rpc, proxied;
+		int caller, rpc, proxied; /**< ports; proxied leads to rpc */
 		pid_t pid;
 	} vm[FLEET_VMS_MAX];
-	char key[128];
+	char key[128]; /**< key of the team "clerks" */
 	char *pools_toml;
 };
 
@@ -94,89 +98,97 @@
 void fleet_tear_down(struct test_fleet *f);
 void fleet_vm_start(struct test_fleet *f, int vm);
 void fleet_vm_signal(struct test_fleet *f, int vm, int sig);
-/** Wait for the daemon's end. @return its exit code, or -1 */
+/** Waits for the daemon to exit. @return its exit code, or -1 */
 int fleet_vm_wait(struct test_fleet *f, int vm);
 void fleet_member_signal(struct test_fleet *f, int member, int sig);
-/** Write the platform's list of VMs, without @a missing (-1 for none). */
-void fleet_list_vms(struct test_fleet *f, int missing);
-/** Switch a fault of the platform: a JSON object, see standin-platform.c. */
-void fleet_platform(struct test_fleet *f, const char *json);
-/** A line to faultproxy, see faultproxy.c. Routes are named as VMs and members. */
+/** Writes the platform's list of VMs, leaving out VM @a omitted (-1: none). */
+void fleet_list_vms(struct test_fleet *f, int omitted);
+/** Sets faults of standin-platform; @a json is described in standin-platform.c. */
+void fleet_platform_fault(struct test_fleet *f, const char *json);
+/** Sends a command to faultproxy, see faultproxy.c. Routes have the names of VMs and members. */
 void fleet_fault(struct test_fleet *f, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/** Cut @a dc from all others, or join it again. */
-void fleet_cut(struct test_fleet *f, const char *dc, bool cut);
+/** Partitions data centre @a dc from all others, or heals the partition. */
+void fleet_partition(struct test_fleet *f, const char *dc, bool partitioned);
 /**
- * Run the mangoloom command. @param out its standard output, to g_free(); may be NULL. @return its
+ * Runs the mangoloom command. @param out its standard output, to g_free(); may be NULL. @return its
  * exit code
  */
 int fleet_cli(struct test_fleet *f, char **out, const char *args, ...) G_GNUC_PRINTF(3, 4);
-/** Write @a text to a file of the fleet. @return its path, to g_free() */
+/** Writes @a text to a file in the fleet's directory. @return its path, to g_free() */
 char *fleet_file(struct test_fleet *f, const char *name, const char *text);
-/** Give a key to @a team. */
-char *fleet_key(struct test_fleet *f, const char *team);
+/** Creates a key for @a team. @return the key, to g_free() */
+char *fleet_create_key(struct test_fleet *f, const char *team);
 
-/** Connect as @a team with @a key and startup options ("-c mangoloom.kind=order"). */
+/** Connects as @a team with @a key and startup options such as "-c mangoloom.kind=order". */
 PGconn *fleet_connect(struct test_fleet *f, int vm, const char *team, const char *key,
 		      const char *options);
-/** Connect with the fleet's own key to send orders. */
-PGconn *fleet_orders(struct test_fleet *f, int vm);
-/** Connect straight to a member. */
+/** Connects with the fleet's key, to send orders. */
+PGconn *fleet_connect_orders(struct test_fleet *f, int vm);
+/** Connects to a member directly, without proxy or daemon. */
 PGconn *member_connect(struct test_fleet *f, int member);
-/** Run a statement. @return its SQLSTATE; "00000" for success, "08006" for a lost connection */
+/**
+ * Runs a statement. @param value the first column of the first row; may be NULL. @return its
+ * SQLSTATE; "00000" for success, "08006" for a lost connection
+ */
 const char *sql(PGconn *c, char *value, size_t size, const char *format, ...) G_GNUC_PRINTF(4, 5);
-/** The DETAIL of the last error of sql(). */
+/** Returns the DETAIL of this thread's last sql() call; "" if it had none. */
 const char *sql_detail(void);
-/** Index of the member that leads the highest term, asked directly; -1 when there is none. */
+/**
+ * Queries the first pool's members directly. @return the index of the primary with the highest
+ * term; -1 if there is none
+ */
 int fleet_primary(struct test_fleet *f);
-/** A number from `mangoloom status --json VM`: a member of "counters", or of the whole. */
+/** Returns a number from `mangoloom status --json VM`, at the top level or in "counters". */
 int64_t fleet_status(struct test_fleet *f, int vm, const char *name);
-/** Wait until @a done holds, or @a ms have passed. @return whether it holds */
+/** Waits up to @a ms until @a done returns true. @return whether it did */
 bool wait_until(bool (*done)(struct test_fleet *f, void *arg), struct test_fleet *f, void *arg,
 		int ms);
 
-/** How one write ended, as its caller was told. */
-enum told { TOLD_ACKED, TOLD_NOT_RUN, TOLD_UNKNOWN };
+/** Outcome of a write, as reported to its caller. */
+enum write_outcome { WRITE_ACKED, WRITE_NOT_RUN, WRITE_UNKNOWN };
 
-/**
- * A thread that writes orders one after another, each under a key of its own, and notes how each
- * ended.
- */
+/** A thread that writes orders one after another, each with its own key, and records outcomes. */
 struct writer {
 	struct test_fleet *f;
 	GThread *thread;
 	int vm;
-	const char *team, *key; /**< NULL: the fleet's own */
-	const char *options;	/**< NULL: orders */
+	const char *team, *key; /**< NULL: team "clerks" and its key */
+	const char *options;	/**< NULL: statements of kind "order" */
 	char prefix[32];
 	int pause_us; /**< between two writes */
-	bool roam;    /**< another VM for each connection */
+	bool roam;    /**< each new connection goes to the next VM */
 	volatile int stop;
-	GArray *told;		     /**< of enum told, by number of the order */
-	int64_t last_ack_us, gap_us; /**< longest time between two acknowledged writes */
-	int acked, not_run, unknown, over_rate, lost_conn;
-	int stopped; /**< told by 57P01, as a planned stop does between two statements */
-	int64_t wait_max_us;
+	GArray *told; /**< enum write_outcome of each order, by number */
+	int64_t last_ack_us;
+	int64_t gap_us; /**< longest time between two acknowledged writes */
+	int acked, not_run, unknown, over_rate, lost_connections;
+	int stopped; /**< terminated by 57P01 between two statements, as at a planned stop */
+	int64_t wait_max_us; /**< longest time until a statement was answered */
 };
 
 void writer_start(struct writer *w, struct test_fleet *f, int vm, const char *prefix);
 void writer_stop(struct writer *w);
 /**
- * Compare what the callers were told with the log of the member that leads: acknowledged orders are
- * there once, those told as not run are not there, and none is there twice.
+ * Checks the outcomes of @a n stopped writers against the log of the primary: acknowledged orders
+ * are in it, orders reported as not run are not, and no order is in it twice. Frees the outcomes.
  */
 void writers_verify(struct test_fleet *f, struct writer *w, int n);
 
-/** Ports that are free now; all are held until the last is found. */
+/** Finds @a n different ports that are free now. */
 void test_free_ports(int *ports, int n);
-/** Start a program of the build folder; what it prints goes to @a dir/@a log.err. */
-/** Start a faultproxy; @a argv has its name and routes, see faultproxy.c. */
+/** Starts a faultproxy; @a argv has its name and routes, see faultproxy.c. */
 void test_proxy_start(struct test_proxy *p, const char *dir, char **argv);
-/** Give it a command. */
-void test_proxy_tell(struct test_proxy *p, const char *line);
+/** Sends a command line to the faultproxy and waits for its answer. */
+void test_proxy_command(struct test_proxy *p, const char *line);
 void test_proxy_stop(struct test_proxy *p);
+/**
+ * Starts a program of the build directory; its standard output and standard error go to
+ * @a dir/@a log.err, unless @a out is a descriptor for the standard output. @a in is the standard
+ * input, -1 to inherit it.
+ */
 pid_t test_spawn(const char *dir, const char *log, char **argv, int in, int out);
-/** Kill and reap a process that a test started. */
-void test_end_process(pid_t *pid);
+/** Kills and reaps a process that a test started. */
+void test_kill_process(pid_t *pid);
 int64_t test_now_ms(void);
 int64_t test_now_us(void);
 void test_sleep_ms(int ms);
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -1,7 +1,10 @@
 /**
  * @file measure.c
- * Measurements on one machine, with real processes on loopback. Arguments: which ones; see
- * docs/CAPACITY.md and docs/DESIGN.md for the figures of the runs that are quoted there.
+ * Benchmarks on one machine, with real processes on loopback. The arguments select cases; without
+ * any, all run. docs/CAPACITY.md and docs/DESIGN.md quote figures of such runs.
+ *
+ * The home of a member is the daemon that holds its connections and its queue; the entry is the
+ * daemon that a caller is connected to.
  */
 #include "conf.h"
 #include "harness.h"
@@ -15,16 +18,18 @@
 #include <string.h>
 #include <unistd.h>
 
-static int by_value(const void *a, const void *b)
+#define WARMUP_STATEMENTS 200
+
+static int compare_doubles(const void *a, const void *b)
 {
 	double x = *(const double *)a, y = *(const double *)b;
 
 	return x < y ? -1 : x > y;
 }
 
-static void print_times(const char *what, double *us, int n)
+static void print_latencies(const char *what, double *us, int n)
 {
-	qsort(us, (size_t)n, sizeof(*us), by_value);
+	qsort(us, (size_t)n, sizeof(*us), compare_doubles);
 	printf("%-44s median %8.0f us  p99 %8.0f us  (n %d)\n", what, us[n / 2], us[n * 99 / 100],
 	       n);
 }
@@ -34,64 +39,64 @@
 	double *us = g_new0(double, (gsize)n);
 	int i;
 
-	for (i = -200; i < n; i++) {
+	for (i = -WARMUP_STATEMENTS; i < n; i++) {
 		int64_t start = test_now_us();
 
 		sql(c, NULL, 0, "%s", text);
 		if (i >= 0)
 			us[i] = (double)(test_now_us() - start);
 	}
-	print_times(what, us, n);
+	print_latencies(what, us, n);
 	g_free(us);
 }
 
 /**
- * What the way through a daemon adds: straight to the member, through its home, through another
- * VM.
+ * Measures the latency that a daemon adds: statements sent to the member directly, through its
+ * home, and through another VM.
  */
 static void measure_latency(void)
 {
-	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.keep_members = true});
+	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.bypass_proxy = true});
 	PGconn *direct = member_connect(f, 0);
 	PGconn *home = fleet_connect(f, 0, "clerks", f->key, "-c mangoloom.kind=own");
-	PGconn *away = fleet_connect(f, 1, "clerks", f->key, "-c mangoloom.kind=own");
-	PGconn *w_home = fleet_orders(f, 0), *w_away = fleet_orders(f, 1);
+	PGconn *remote = fleet_connect(f, 1, "clerks", f->key, "-c mangoloom.kind=own");
+	PGconn *w_home = fleet_connect_orders(f, 0), *w_remote = fleet_connect_orders(f, 1);
 
 	time_statements("read, straight to the member", direct,
 			"SELECT value FROM warm WHERE key = 'up'", 5000);
 	time_statements("read, through the member's home", home,
 			"SELECT value FROM warm WHERE key = 'up'", 5000);
-	time_statements("read, through another VM", away, "SELECT value FROM warm WHERE key = 'up'",
-			5000);
+	time_statements("read, through another VM", remote,
+			"SELECT value FROM warm WHERE key = 'up'", 5000);
 	time_statements("write, straight to the member", direct, "INSERT INTO m VALUES ('k', 'v')",
 			5000);
 	time_statements("write, through the home, confirm=replica", w_home,
 			"INSERT INTO m VALUES ('k', 'v')", 5000);
-	time_statements("write, through another VM, confirm=replica", w_away,
+	time_statements("write, through another VM, confirm=replica", w_remote,
 			"INSERT INTO m VALUES ('k', 'v')", 5000);
 	PQfinish(direct);
 	PQfinish(home);
-	PQfinish(away);
+	PQfinish(remote);
 	PQfinish(w_home);
-	PQfinish(w_away);
+	PQfinish(w_remote);
 	fleet_tear_down(f);
-	f = fleet_start_up(&(struct fleet_plan){.keep_members = true, .confirm = "primary"});
-	w_home = fleet_orders(f, 0);
+	f = fleet_start_up(&(struct fleet_plan){.bypass_proxy = true, .confirm = "primary"});
+	w_home = fleet_connect_orders(f, 0);
 	time_statements("write, through the home, confirm=primary", w_home,
 			"INSERT INTO m VALUES ('k', 'v')", 5000);
 	PQfinish(w_home);
 	fleet_tear_down(f);
 }
 
-struct asker {
+struct load_client {
 	struct test_fleet *f;
 	volatile int stop;
 	int n;
 };
 
-static gpointer ask(gpointer data)
+static gpointer load_client_run(gpointer data)
 {
-	struct asker *a = data;
+	struct load_client *a = data;
 	PGconn *c = fleet_connect(a->f, 0, "clerks", a->f->key, "-c mangoloom.kind=own");
 
 	while (!a->stop)
@@ -101,7 +106,8 @@
 }
 
 /**
- * Statements a second and a core of one daemon that is entry and home; and memory of idle callers.
+ * Measures statements per second and per core of one daemon that is both entry and home, and the
+ * memory per idle caller.
  */
 static void measure_throughput(void)
 {
@@ -109,8 +115,8 @@
 								   .data_centers = 1,
 								   .slots = 64,
 								   .connections = 128,
-								   .keep_members = true});
-	struct asker a[16];
+								   .bypass_proxy = true});
+	struct load_client a[16];
 	GThread *t[16];
 	PGconn *idle[2000];
 	int64_t cpu, start, memory;
@@ -119,7 +125,7 @@
 	memset(a, 0, sizeof(a));
 	for (i = 0; i < 16; i++) {
 		a[i].f = f;
-		t[i] = g_thread_new("ask", ask, &a[i]);
+		t[i] = g_thread_new("ask", load_client_run, &a[i]);
 	}
 	test_sleep_ms(500);
 	cpu = fleet_status(f, 0, "cpu_us");
@@ -140,7 +146,7 @@
 	}
 	memory = fleet_status(f, 0, "memory_kb");
 	for (i = 0; i < 2000; i++)
-		idle[i] = fleet_orders(f, 0);
+		idle[i] = fleet_connect_orders(f, 0);
 	test_sleep_ms(500);
 	printf("2000 idle callers: %.2f KB each\n",
 	       (double)(fleet_status(f, 0, "memory_kb") - memory) / 2000);
@@ -150,10 +156,10 @@
 }
 
 /**
- * The gap in acknowledged writes when the primary is killed, frozen, or cut off; @a rounds fleets
- * each.
+ * Measures the gap in acknowledged writes when the primary is killed, frozen or partitioned away
+ * (@a fault), in @a rounds fleets.
  */
-static void measure_gap(const char *how, int rounds)
+static void measure_gap(const char *fault, int rounds)
 {
 	double *gap = g_new0(double, (gsize)rounds);
 	int i, k, unknown = 0;
@@ -166,12 +172,12 @@
 		writer_start(&w[0], f, 1, "a");
 		writer_start(&w[1], f, 2, "b");
 		test_sleep_ms(400);
-		if (strcmp(how, "kill") == 0)
+		if (strcmp(fault, "kill") == 0)
 			fleet_member_signal(f, primary, SIGKILL);
-		else if (strcmp(how, "freeze") == 0)
+		else if (strcmp(fault, "freeze") == 0)
 			fleet_member_signal(f, primary, SIGSTOP);
 		else
-			fleet_cut(f, "dc1", true);
+			fleet_partition(f, "dc1", true);
 		test_sleep_ms(3500);
 		for (k = 0; k < 2; k++) {
 			writer_stop(&w[k]);
@@ -181,15 +187,17 @@
 		}
 		fleet_tear_down(f);
 	}
-	qsort(gap, (size_t)rounds, sizeof(*gap), by_value);
+	qsort(gap, (size_t)rounds, sizeof(*gap), compare_doubles);
 	printf("primary %s: gap in writes median %.0f ms, worst %.0f ms, least %.0f ms (n %d); %d "
 	       "outcomes not known\n",
-	       how, gap[rounds / 2] / 1000, gap[rounds - 1] / 1000, gap[0] / 1000, rounds, unknown);
+	       fault, gap[rounds / 2] / 1000, gap[rounds - 1] / 1000, gap[0] / 1000, rounds,
+	       unknown);
 	g_free(gap);
 }
 
 /**
- * Share of reads that replicas serve, for sessions that write now and then, at a replication lag.
+ * Measures the share of reads that replicas serve at replication lag @a lag_ms: for a session that
+ * reads its own occasional writes, and for one that only reads.
  */
 static void measure_replicas(int lag_ms)
 {
@@ -246,8 +254,8 @@
 	fleet_tear_down(f);
 }
 
-/** Acknowledged writes that a promotion loses, under load, over @a rounds promotions. */
-static void measure_lost(const char *confirm, int rounds)
+/** Counts acknowledged writes that promotions under load lose, over @a rounds promotions. */
+static void measure_lost_writes(const char *confirm, int rounds)
 {
 	unsigned lost = 0, acked = 0;
 	int i;
@@ -262,7 +270,7 @@
 
 		writer_start(&w, f, 1, "a");
 		test_sleep_ms(500);
-		/* The replicas are 100 ms behind when the primary dies. */
+		/* Replicas lag by 100 ms when the primary is killed. */
 		for (j = 0; j < 3; j++)
 			fleet_fault(f, "hold %s -db", f->member[j].name);
 		test_sleep_ms(100);
@@ -273,7 +281,7 @@
 		writer_stop(&w);
 		c = member_connect(f, fleet_primary(f));
 		for (k = 0; k < w.told->len; k++) {
-			if (g_array_index(w.told, enum told, k) != TOLD_ACKED)
+			if (g_array_index(w.told, enum write_outcome, k) != WRITE_ACKED)
 				continue;
 			acked++;
 			sql(c, count, sizeof(count),
@@ -288,11 +296,11 @@
 	       acked, rounds);
 }
 
-/** Control traffic, processor and memory of a daemon at rest, for one fleet. */
-static void measure_rest(int vms, int pools)
+/** Measures control traffic, CPU time and memory per idle daemon of one fleet. */
+static void measure_idle(int vms, int pools)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){
-		.vms = vms, .pools = pools, .data_centers = 2, .keep_members = true});
+		.vms = vms, .pools = pools, .data_centers = 2, .bypass_proxy = true});
 	double seconds = 6, out = 0, in = 0, cpu = 0, memory = 0, calls = 0;
 	int i;
 
@@ -318,10 +326,10 @@
 }
 
 /**
- * By the size of the fleet, and by the members that a daemon is home to. Heartbeats are every 200
- * ms here.
+ * Measures idle daemons by the number of VMs and of members that a daemon is home to. The harness
+ * sets the heartbeat interval to 200 ms.
  */
-static void measure_slopes(void)
+static void measure_scaling(void)
 {
 	static const struct {
 		int vms, pools;
@@ -331,7 +339,7 @@
 	printf("%6s %14s %14s %14s %12s %12s %14s\n", "VMs", "homes a VM", "out B/s", "in B/s",
 	       "cpu %", "memory KB", "platform /s");
 	for (i = 0; i < G_N_ELEMENTS(fleets); i++)
-		measure_rest(fleets[i].vms, fleets[i].pools);
+		measure_idle(fleets[i].vms, fleets[i].pools);
 }
 
 static long memory_kb(void)
@@ -369,7 +377,7 @@
 	return e;
 }
 
-/** The configuration and the membership at the size of letter 1: 3,700 databases, 3,100 VMs. */
+/** Measures configuration and membership at the required size: 3,700 databases, 3,100 VMs. */
 static void measure_sizes(void)
 {
 	struct page page;
@@ -408,7 +416,7 @@
 	start = test_now_us();
 	page_build(c, 1, "", SIZE_MAX, &page);
 	u = page.u;
-	printf("told to a peer as %u entry, found in %.0f us\n", u.entries->len,
+	printf("update for a peer: %u entry, built in %.0f us\n", u.entries->len,
 	       (double)(test_now_us() - start));
 	conf_update_clear(&u);
 	before = memory_kb();
@@ -466,15 +474,15 @@
 
 static void run_lost(void)
 {
-	measure_lost("replica", 20);
-	measure_lost("primary", 20);
+	measure_lost_writes("replica", 20);
+	measure_lost_writes("primary", 20);
 }
 
 static const struct test_case cases[] = {
 	{"latency", measure_latency}, {"throughput", measure_throughput},
 	{"kill", run_kill},	      {"cut", run_cut},
 	{"replicas", run_replicas},   {"lost", run_lost},
-	{"slopes", measure_slopes},   {"sizes", measure_sizes},
+	{"slopes", measure_scaling},  {"sizes", measure_sizes},
 	{"freeze", run_freeze},
 };
 HARNESS_MAIN("measure", cases)
--- a/tests/standin-db-log.c
+++ b/tests/standin-db-log.c
@@ -1,4 +1,4 @@
-/** @file standin-db-log.c Log, terms, tables and replication of the stand-in database. */
+/** @file standin-db-log.c Log, terms, tables and replication of standin-db. */
 #include "standin-db.h"
 
 #include "net.h"
@@ -7,17 +7,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RECONNECT_US (50 * USEC_PER_MSEC)
-/**
- * A primary says that it lives this often, and a replica that hears nothing for longer connects
- * again.
- */
-#define ALIVE_US (100 * USEC_PER_MSEC)
-#define SILENT_US (600 * USEC_PER_MSEC)
+#define RECONNECT_DELAY_US (50 * USEC_PER_MSEC)
+/** Interval of keepalive messages from a primary to its replicas. */
+#define KEEPALIVE_INTERVAL_US (100 * USEC_PER_MSEC)
+/** A replica that has received nothing from its primary for longer than this reconnects. */
+#define KEEPALIVE_TIMEOUT_US (600 * USEC_PER_MSEC)
 
-static int64_t up_heard_us;
+static int64_t upstream_received_us;
 
-void ops_free(gpointer data)
+void op_free(gpointer data)
 {
 	struct op *op = data;
 
@@ -56,7 +54,7 @@
 	return p;
 }
 
-static void note_record(const struct record *r, uint64_t lsn)
+static void index_record(const struct record *r, uint64_t lsn)
 {
 	guint i;
 
@@ -66,16 +64,16 @@
 	for (i = 0; i < r->ops->len; i++) {
 		const struct op *op = g_ptr_array_index(r->ops, i);
 		char *key = g_strdup_printf("%s %s", op->table, op->key);
-		char *all = g_strdup_printf("%s ", op->table);
+		char *table_key = g_strdup_printf("%s ", op->table);
 
 		g_hash_table_replace(
 			server.counts, key,
 			GUINT_TO_POINTER(GPOINTER_TO_UINT(g_hash_table_lookup(server.counts, key)) +
 					 1));
-		g_hash_table_replace(
-			server.counts, all,
-			GUINT_TO_POINTER(GPOINTER_TO_UINT(g_hash_table_lookup(server.counts, all)) +
-					 1));
+		g_hash_table_replace(server.counts, table_key,
+				     GUINT_TO_POINTER(GPOINTER_TO_UINT(g_hash_table_lookup(
+							      server.counts, table_key)) +
+						      1));
 	}
 }
 
@@ -91,7 +89,7 @@
 	}
 }
 
-static void apply_due(evutil_socket_t fd, short what, void *arg)
+static void apply_due_records(evutil_socket_t fd, short what, void *arg)
 {
 	int64_t now = now_us();
 
@@ -104,7 +102,8 @@
 					     .tv_usec = (due - now) % USEC_PER_SEC};
 
 			if (server.apply_timer == NULL)
-				server.apply_timer = event_new(server.base, -1, 0, apply_due, NULL);
+				server.apply_timer =
+					event_new(server.base, -1, 0, apply_due_records, NULL);
 			event_add(server.apply_timer, &tv);
 			break;
 		}
@@ -113,16 +112,16 @@
 	}
 }
 
-static void append(struct record *r)
+static void append_record(struct record *r)
 {
 	r->received_us = now_us();
 	g_ptr_array_add(server.log, r);
-	note_record(r, server.log->len);
-	apply_due(-1, 0, NULL);
+	index_record(r, server.log->len);
+	apply_due_records(-1, 0, NULL);
 	clients_wake();
 }
 
-/** Drop all records after @a lsn: another primary's log goes on from there. */
+/** Truncates the log after @a lsn, where the log of the new primary diverges. */
 static void truncate_log(uint64_t lsn)
 {
 	guint i;
@@ -137,8 +136,8 @@
 	server.terms.n = 0;
 	server.applied = 0;
 	for (i = 0; i < server.log->len; i++)
-		note_record(g_ptr_array_index(server.log, i), i + 1);
-	apply_due(-1, 0, NULL);
+		index_record(g_ptr_array_index(server.log, i), i + 1);
+	apply_due_records(-1, 0, NULL);
 }
 
 void log_commit(const char *xid, GPtrArray *ops)
@@ -149,10 +148,10 @@
 	r->term = server.seen_term;
 	r->xid = g_strdup(xid);
 	r->ops = ops;
-	append(r);
+	append_record(r);
 	TAILQ_FOREACH(c, &server.clients, link) {
 		if (c->streaming)
-			log_send(c);
+			log_send_records(c);
 	}
 }
 
@@ -180,7 +179,7 @@
 
 /* Streaming, sending side */
 
-void log_stream(struct db_client *c, const char *sql)
+void log_start_stream(struct db_client *c, const char *sql)
 {
 	unsigned long term, lsn, h_term, h_lsn;
 	char history[256], *part, *save = NULL;
@@ -195,7 +194,10 @@
 		g_byte_array_unref(out);
 		return;
 	}
-	/* The common part ends where a term of the replica's log ends in this log. */
+	/*
+	 * The logs are equal up to the end of the last term that begins at the same LSN in both, or
+	 * to the end of the replica's log if that comes first.
+	 */
 	for (part = strtok_r(history, ",", &save); part != NULL;
 	     part = strtok_r(NULL, ",", &save)) {
 		unsigned i;
@@ -218,21 +220,21 @@
 	pg_end(out, mark);
 	bufferevent_write(c->bev, out->data, out->len);
 	g_byte_array_unref(out);
-	log_send(c);
+	log_send_records(c);
 }
 
-void log_send(struct db_client *c)
+void log_send_records(struct db_client *c)
 {
 	GByteArray *out = g_byte_array_new();
 
 	for (; c->sent_lsn < server.log->len; c->sent_lsn++) {
 		const struct record *r = g_ptr_array_index(server.log, c->sent_lsn);
 		guint mark = pg_begin(out, 'd');
-		char head[64];
+		char header[64];
 		guint i;
 
-		snprintf(head, sizeof(head), "record %lu %lu", c->sent_lsn + 1, r->term);
-		pg_put_text(out, head);
+		snprintf(header, sizeof(header), "record %lu %lu", c->sent_lsn + 1, r->term);
+		pg_put_text(out, header);
 		pg_put_text(out, r->xid);
 		for (i = 0; i < r->ops->len; i++) {
 			const struct op *op = g_ptr_array_index(r->ops, i);
@@ -249,36 +251,36 @@
 
 /* Streaming, receiving side */
 
-static void up_connect(evutil_socket_t fd, short what, void *arg);
+static void upstream_connect(evutil_socket_t fd, short what, void *arg);
 
-static void up_close(void)
+static void upstream_close(void)
 {
-	if (server.up != NULL)
-		bufferevent_free(server.up);
-	server.up = NULL;
+	if (server.upstream_conn != NULL)
+		bufferevent_free(server.upstream_conn);
+	server.upstream_conn = NULL;
 }
 
-static void up_retry(void)
+static void upstream_reconnect_later(void)
 {
-	struct timeval tv = {.tv_usec = RECONNECT_US};
+	struct timeval tv = {.tv_usec = RECONNECT_DELAY_US};
 
-	up_close();
+	upstream_close();
 	if (server.reconnect_timer == NULL)
-		server.reconnect_timer = event_new(server.base, -1, 0, up_connect, NULL);
+		server.reconnect_timer = event_new(server.base, -1, 0, upstream_connect, NULL);
 	event_add(server.reconnect_timer, &tv);
 }
 
-static void take_record(struct pg_reader *r, const char *head)
+static void receive_record(struct pg_reader *r, const char *header)
 {
 	struct record *rec;
 	unsigned long lsn, term;
 
-	if (sscanf(head, "record %lu %lu", &lsn, &term) != 2 || lsn != server.log->len + 1)
+	if (sscanf(header, "record %lu %lu", &lsn, &term) != 2 || lsn != server.log->len + 1)
 		return;
 	rec = g_new0(struct record, 1);
 	rec->term = term;
 	rec->xid = g_strdup(pg_read_text(r));
-	rec->ops = g_ptr_array_new_with_free_func(ops_free);
+	rec->ops = g_ptr_array_new_with_free_func(op_free);
 	while (!r->bad && r->p < r->end) {
 		struct op *op = g_new0(struct op, 1);
 
@@ -287,10 +289,10 @@
 		op->value = g_strdup(pg_read_text(r));
 		g_ptr_array_add(rec->ops, op);
 	}
-	append(rec);
+	append_record(rec);
 }
 
-static void up_ask(void)
+static void upstream_request_stream(void)
 {
 	GByteArray *out = g_byte_array_new();
 	GString *sql = g_string_new(NULL);
@@ -300,57 +302,58 @@
 	history_text(sql);
 	pg_put_text(out, sql->str);
 	pg_end(out, mark);
-	bufferevent_write(server.up, out->data, out->len);
+	bufferevent_write(server.upstream_conn, out->data, out->len);
 	g_byte_array_unref(out);
 	g_string_free(sql, TRUE);
 }
 
-static void up_read(struct bufferevent *bev, void *arg)
+static void on_upstream_read(struct bufferevent *bev, void *arg)
 {
 	struct evbuffer *in = bufferevent_get_input(bev);
 	struct pg_message m;
 
-	up_heard_us = now_us();
-	while (server.up == bev && pg_message_read(in, false, 64 << 20, &m) == PG_MESSAGE) {
+	upstream_received_us = now_us();
+	while (server.upstream_conn == bev &&
+	       pg_message_read(in, false, 64 << 20, &m) == PG_MESSAGE) {
 		struct pg_reader r = pg_reader(&m);
-		const char *head;
+		const char *header;
 		unsigned long from;
 
 		if (m.type == 'Z')
-			up_ask();
+			upstream_request_stream();
 		if (m.type == 'd') {
-			head = pg_read_text(&r);
-			if (sscanf(head, "from %lu", &from) == 1)
+			header = pg_read_text(&r);
+			if (sscanf(header, "from %lu", &from) == 1)
 				truncate_log(from);
 			else
-				take_record(&r, head);
+				receive_record(&r, header);
 		}
 		pg_message_clear(&m);
 	}
 }
 
-static void up_event(struct bufferevent *bev, short what, void *arg)
+static void on_upstream_event(struct bufferevent *bev, short what, void *arg)
 {
 	if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-		up_retry();
+		upstream_reconnect_later();
 }
 
-static void up_connect(evutil_socket_t fd, short what, void *arg)
+static void upstream_connect(evutil_socket_t fd, short what, void *arg)
 {
 	GByteArray *out = g_byte_array_new();
 	struct sockaddr_in sin;
 	uint32_t len;
 
-	up_close();
-	up_heard_us = now_us();
+	upstream_close();
+	upstream_received_us = now_us();
 	if (server.upstream[0] == '\0' || !net_parse(server.upstream_address, &sin)) {
 		g_byte_array_unref(out);
 		return;
 	}
-	server.up = bufferevent_socket_new(server.base, -1,
-					   BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-	bufferevent_setcb(server.up, up_read, NULL, up_event, NULL);
-	bufferevent_enable(server.up, EV_READ | EV_WRITE);
+	server.upstream_conn = bufferevent_socket_new(
+		server.base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
+	bufferevent_setcb(server.upstream_conn, on_upstream_read, NULL, on_upstream_event, NULL);
+	bufferevent_enable(server.upstream_conn, EV_READ | EV_WRITE);
 	pg_put_u32(out, 0);
 	pg_put_u32(out, PG_PROTOCOL_3);
 	pg_put_text(out, "user");
@@ -360,13 +363,16 @@
 	pg_put_u8(out, 0);
 	len = GUINT32_TO_BE(out->len);
 	memcpy(out->data, &len, sizeof(len));
-	bufferevent_write(server.up, out->data, out->len);
+	bufferevent_write(server.upstream_conn, out->data, out->len);
 	g_byte_array_unref(out);
-	bufferevent_socket_connect(server.up, (struct sockaddr *)&sin, sizeof(sin));
+	bufferevent_socket_connect(server.upstream_conn, (struct sockaddr *)&sin, sizeof(sin));
 }
 
-/** Both ends of replication: as PostgreSQL's wal_sender and wal_receiver timeouts. */
-static void alive_tick(evutil_socket_t fd, short what, void *arg)
+/**
+ * Sends keepalives to replicas, and reconnects to an upstream that has been silent for too long,
+ * like PostgreSQL's wal_sender_timeout and wal_receiver_timeout.
+ */
+static void on_keepalive_timer(evutil_socket_t fd, short what, void *arg)
 {
 	GByteArray *out = g_byte_array_new();
 	guint mark = pg_begin(out, 'd');
@@ -379,31 +385,32 @@
 			bufferevent_write(c->bev, out->data, out->len);
 	}
 	g_byte_array_unref(out);
-	if (server.up != NULL && now_us() - up_heard_us > SILENT_US) {
-		up_heard_us = now_us();
-		up_retry();
+	if (server.upstream_conn != NULL &&
+	    now_us() - upstream_received_us > KEEPALIVE_TIMEOUT_US) {
+		upstream_received_us = now_us();
+		upstream_reconnect_later();
 	}
 }
 
-void log_start(void)
+void log_start_keepalive(void)
 {
-	struct timeval tv = {.tv_usec = ALIVE_US};
-	struct event *timer = event_new(server.base, -1, EV_PERSIST, alive_tick, NULL);
+	struct timeval tv = {.tv_usec = KEEPALIVE_INTERVAL_US};
+	struct event *timer = event_new(server.base, -1, EV_PERSIST, on_keepalive_timer, NULL);
 
 	event_add(timer, &tv);
 }
 
-/* Orders */
+/* Commands of the proxy: follow and promote */
 
-static void order_answer(GString *out, bool ok)
+static void put_command_result(GString *out, bool accepted)
 {
 	struct pos p = log_pos();
 
-	g_string_append_printf(out, "%s %lu %lu %lu", ok ? "ok" : "refused", server.seen_term,
+	g_string_append_printf(out, "%s %lu %lu %lu", accepted ? "ok" : "refused", server.seen_term,
 			       p.term, p.lsn);
 }
 
-/** No longer take writes, nor send any: a later term has begun. */
+/** Stops accepting writes and streaming to replicas, because a later term has begun. */
 static void step_down(void)
 {
 	struct db_client *c, *next;
@@ -418,40 +425,43 @@
 void log_follow(uint64_t term, const char *upstream, const char *address, GString *out)
 {
 	bool attach = upstream[0] != '\0';
-	bool ok =
+	bool accepted =
 		term > server.seen_term || (attach && term == server.seen_term && !server.primary);
 
-	if (!ok) {
-		order_answer(out, false);
+	if (!accepted) {
+		put_command_result(out, false);
 		return;
 	}
 	if (term > server.seen_term || attach) {
 		step_down();
-		up_close();
+		upstream_close();
 	}
 	server.seen_term = term;
 	g_strlcpy(server.upstream, upstream, sizeof(server.upstream));
 	g_strlcpy(server.upstream_address, address, sizeof(server.upstream_address));
 	if (attach)
-		up_connect(-1, 0, NULL);
-	order_answer(out, true);
+		upstream_connect(-1, 0, NULL);
+	put_command_result(out, true);
 	clients_wake();
 }
 
 void log_promote(uint64_t term, GString *out)
 {
 	if (term != server.seen_term || server.primary) {
-		order_answer(out, server.primary && term == server.seen_term);
+		put_command_result(out, server.primary && term == server.seen_term);
 		return;
 	}
-	up_close();
+	upstream_close();
 	server.upstream[0] = '\0';
 	server.primary = true;
-	apply_due(-1, 0, NULL);
-	/* The term's own first record: once a majority has it, no log without it can be chosen. */
-	log_commit("", g_ptr_array_new_with_free_func(ops_free));
+	apply_due_records(-1, 0, NULL);
+	/*
+	 * The first record of the term. Once a majority has it, no member without it can be
+	 * promoted.
+	 */
+	log_commit("", g_ptr_array_new_with_free_func(op_free));
 	fprintf(stderr, "%s leads term %lu from %u\n", server.name, term, server.log->len);
-	order_answer(out, true);
+	put_command_result(out, true);
 }
 
 /* Reads */
--- a/tests/standin-db-sql.c
+++ b/tests/standin-db-sql.c
@@ -1,4 +1,4 @@
-/** @file standin-db-sql.c The few statements that the stand-in database knows. */
+/** @file standin-db-sql.c The subset of SQL that standin-db supports. */
 #include "standin-db.h"
 
 #include <ctype.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <strings.h>
 
-#define NAMES "abcdefghijklmnopqrstuvwxyz_0123456789"
+#define IDENTIFIER_CHARS "abcdefghijklmnopqrstuvwxyz_0123456789"
 
 GQueue sql_split(const char *text)
 {
@@ -50,17 +50,17 @@
 	return g_string_free(out, FALSE);
 }
 
-static bool is(const char *sql, const char *prefix)
+static bool has_prefix(const char *sql, const char *prefix)
 {
 	return strncasecmp(sql, prefix, strlen(prefix)) == 0;
 }
 
 bool sql_returns_row(const char *sql)
 {
-	return is(sql, "SELECT") || is(sql, "SHOW");
+	return has_prefix(sql, "SELECT") || has_prefix(sql, "SHOW");
 }
 
-enum work_kind sql_work(struct db_client *c, const char *sql)
+enum work_kind sql_work_kind(struct db_client *c, const char *sql)
 {
 	unsigned long term, lsn;
 	int ms;
@@ -69,11 +69,11 @@
 		c->wait_for = (struct pos){term, lsn};
 		return WORK_WAIT;
 	}
-	/* A commit that writes takes its time too, so that faults find it under way. */
-	if (is(sql, "COMMIT") && c->ops != NULL)
+	/* A commit with writes takes a slot and time too, so that faults can hit it in progress. */
+	if (has_prefix(sql, "COMMIT") && c->ops != NULL)
 		return WORK_SLOT;
-	if (is(sql, "INSERT") || is(sql, "SELECT value") || is(sql, "SELECT work") ||
-	    is(sql, "SELECT big"))
+	if (has_prefix(sql, "INSERT") || has_prefix(sql, "SELECT value") ||
+	    has_prefix(sql, "SELECT work") || has_prefix(sql, "SELECT big"))
 		return WORK_SLOT;
 	return WORK_NONE;
 }
@@ -98,24 +98,25 @@
 	c->ops = NULL;
 }
 
-/** One text value; in the extended protocol its shape only when it was asked for. */
+/** Sends one text value; in the extended protocol with RowDescription only after Describe. */
 static void put_value(struct db_client *c, GByteArray *out, const char *value)
 {
-	GByteArray *all = g_byte_array_new();
-	size_t skip = 0;
+	GByteArray *messages = g_byte_array_new();
+	size_t row_description_bytes = 0;
 
-	pg_put_one_value(all, "value", value, "SELECT 1");
+	pg_put_one_value(messages, "value", value, "SELECT 1");
 	if (c->extended && !c->describe) {
 		uint32_t len;
 
-		memcpy(&len, all->data + 1, sizeof(len));
-		skip = 1 + GUINT32_FROM_BE(len);
+		memcpy(&len, messages->data + 1, sizeof(len));
+		row_description_bytes = 1 + GUINT32_FROM_BE(len);
 	}
-	pg_put_bytes(out, all->data + skip, all->len - skip);
-	g_byte_array_unref(all);
+	pg_put_bytes(out, messages->data + row_description_bytes,
+		     messages->len - row_description_bytes);
+	g_byte_array_unref(messages);
 }
 
-static void put_done(struct db_client *c, GByteArray *out, const char *tag)
+static void put_complete(struct db_client *c, GByteArray *out, const char *tag)
 {
 	if (c->extended && c->describe)
 		pg_put_empty(out, 'n');
@@ -128,20 +129,20 @@
 	struct op *op;
 	guint i;
 
-	if (sscanf(sql, "INSERT INTO %63[" NAMES "] VALUES ( '%255[^']' , '%1023[^']'", table, key,
-		   value) < 2)
+	if (sscanf(sql, "INSERT INTO %63[" IDENTIFIER_CHARS "] VALUES ( '%255[^']' , '%1023[^']'",
+		   table, key, value) < 2)
 		return fail(c, out, "42601", "this INSERT is not understood");
 	if (!server.primary)
 		return fail(c, out, "25006", "cannot execute INSERT in a read-only transaction");
 	if (strcmp(table, "mangoloom_once") == 0) {
-		bool taken = log_count(table, key) > 0;
+		bool exists = log_count(table, key) > 0;
 
 		for (i = 0; c->ops != NULL && i < c->ops->len; i++) {
 			op = g_ptr_array_index(c->ops, i);
-			taken = taken ||
-				(strcmp(op->table, table) == 0 && strcmp(op->key, key) == 0);
+			exists = exists ||
+				 (strcmp(op->table, table) == 0 && strcmp(op->key, key) == 0);
 		}
-		if (taken)
+		if (exists)
 			return fail(c, out, "23505",
 				    "duplicate key value violates unique constraint "
 				    "\"mangoloom_once_pkey\"");
@@ -151,9 +152,9 @@
 	op->key = g_strdup(key);
 	op->value = g_strdup(value);
 	if (c->ops == NULL)
-		c->ops = g_ptr_array_new_with_free_func(ops_free);
+		c->ops = g_ptr_array_new_with_free_func(op_free);
 	g_ptr_array_add(c->ops, op);
-	put_done(c, out, "INSERT 0 1");
+	put_complete(c, out, "INSERT 0 1");
 	if (!c->in_tx) {
 		log_commit(c->xid, g_ptr_array_ref(c->ops));
 		tx_reset(c);
@@ -165,7 +166,7 @@
 {
 	if (c->tx_failed) {
 		tx_reset(c);
-		put_done(c, out, "ROLLBACK");
+		put_complete(c, out, "ROLLBACK");
 		return true;
 	}
 	if (c->ops != NULL && c->ops->len > 0) {
@@ -176,17 +177,18 @@
 		log_commit(c->xid, g_ptr_array_ref(c->ops));
 	}
 	tx_reset(c);
-	put_done(c, out, "COMMIT");
+	put_complete(c, out, "COMMIT");
 	return true;
 }
 
-static bool run_value(struct db_client *c, const char *sql, GByteArray *out)
+static bool run_select_value(struct db_client *c, const char *sql, GByteArray *out)
 {
 	char table[64] = "", key[256] = "";
 	const char *value;
 	guint i;
 
-	if (sscanf(sql, "SELECT value FROM %63[" NAMES "] WHERE key = '%255[^']'", table, key) != 2)
+	if (sscanf(sql, "SELECT value FROM %63[" IDENTIFIER_CHARS "] WHERE key = '%255[^']'", table,
+		   key) != 2)
 		return fail(c, out, "42601", "this SELECT is not understood");
 	value = log_read(table, key);
 	for (i = 0; c->ops != NULL && i < c->ops->len; i++) {
@@ -199,12 +201,12 @@
 	return true;
 }
 
-static bool run_count(struct db_client *c, const char *sql, GByteArray *out)
+static bool run_select_count(struct db_client *c, const char *sql, GByteArray *out)
 {
 	char table[64] = "", key[256] = "", text[32];
 
-	if (sscanf(sql, "SELECT count(*) FROM %63[" NAMES "] WHERE key = '%255[^']'", table, key) <
-	    1)
+	if (sscanf(sql, "SELECT count(*) FROM %63[" IDENTIFIER_CHARS "] WHERE key = '%255[^']'",
+		   table, key) < 1)
 		return fail(c, out, "42601", "this SELECT is not understood");
 	snprintf(text, sizeof(text), "%u", log_count(table, key));
 	put_value(c, out, text);
@@ -219,12 +221,12 @@
 	unsigned size;
 	int pid;
 
-	if (is(sql, "SELECT pg_current_xact_id()")) {
+	if (has_prefix(sql, "SELECT pg_current_xact_id()")) {
 		if (c->xid[0] == '\0')
 			snprintf(c->xid, sizeof(c->xid), "%s.%lu.%u", server.name, server.seen_term,
 				 ++server.next_xid);
 		g_string_append(text, c->xid);
-	} else if (is(sql, "SELECT mangoloom_status")) {
+	} else if (has_prefix(sql, "SELECT mangoloom_status")) {
 		log_status(text);
 	} else if (sscanf(sql, "SELECT mangoloom_follow(%lu, '%63[^']', '%63[^']'", &term, member,
 			  address) >= 1) {
@@ -246,9 +248,9 @@
 		g_string_append(text, o != NULL ? "t" : "f");
 		if (o != NULL)
 			client_close(o);
-	} else if (is(sql, "SELECT string_agg(pid")) {
-		clients_active(text);
-	} else if (is(sql, "SELECT mangoloom_peak()")) {
+	} else if (has_prefix(sql, "SELECT string_agg(pid")) {
+		clients_list_active(text);
+	} else if (has_prefix(sql, "SELECT mangoloom_peak()")) {
 		g_string_append_printf(text, "%d %d", server.peak_clients, server.peak_slots);
 	} else if (sscanf(sql, "SELECT mangoloom_lag(%d", &pid) == 1) {
 		server.lag_us = pid * USEC_PER_MSEC;
@@ -267,27 +269,27 @@
 
 bool sql_run(struct db_client *c, const char *sql, GByteArray *out)
 {
-	if (is(sql, "COMMIT"))
+	if (has_prefix(sql, "COMMIT"))
 		return run_commit(c, out);
-	if (is(sql, "ROLLBACK")) {
+	if (has_prefix(sql, "ROLLBACK")) {
 		tx_reset(c);
-		put_done(c, out, "ROLLBACK");
+		put_complete(c, out, "ROLLBACK");
 		return true;
 	}
 	if (c->tx_failed)
 		return fail(c, out, "25P02", "current transaction is aborted");
-	if (is(sql, "BEGIN")) {
+	if (has_prefix(sql, "BEGIN")) {
 		c->in_tx = true;
-		put_done(c, out, "BEGIN");
+		put_complete(c, out, "BEGIN");
 		return true;
 	}
-	if (is(sql, "INSERT"))
+	if (has_prefix(sql, "INSERT"))
 		return run_insert(c, sql, out);
-	if (is(sql, "SELECT value"))
-		return run_value(c, sql, out);
-	if (is(sql, "SELECT count"))
-		return run_count(c, sql, out);
-	if (is(sql, "SELECT"))
+	if (has_prefix(sql, "SELECT value"))
+		return run_select_value(c, sql, out);
+	if (has_prefix(sql, "SELECT count"))
+		return run_select_count(c, sql, out);
+	if (has_prefix(sql, "SELECT"))
 		return run_function(c, sql, out);
 	return fail(c, out, "42601", "this statement is not understood");
 }
--- a/tests/standin-db.c
+++ b/tests/standin-db.c
@@ -1,4 +1,4 @@
-/** @file standin-db.c Connections, slots and the protocol of the stand-in database. */
+/** @file standin-db.c Connections, slots and the wire protocol of standin-db. */
 #include "standin-db.h"
 
 #include "net.h"
@@ -10,15 +10,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WAIT_US (100 * USEC_PER_MSEC)
+#define POS_WAIT_TIMEOUT_US (100 * USEC_PER_MSEC)
 
 struct db_server server = {.clients = TAILQ_HEAD_INITIALIZER(server.clients),
 			   .slot_queue = TAILQ_HEAD_INITIALIZER(server.slot_queue)};
 
 static void client_process(struct db_client *c);
-static void client_go_on(struct db_client *c);
+static void client_run_next(struct db_client *c);
 
-static void slot_free(void)
+static void slot_release(void)
 {
 	struct db_client *next;
 
@@ -28,7 +28,7 @@
 		return;
 	TAILQ_REMOVE(&server.slot_queue, next, waiting);
 	next->wants_slot = false;
-	client_go_on(next);
+	client_run_next(next);
 }
 
 void client_close(struct db_client *c)
@@ -49,7 +49,7 @@
 	g_free(c->bound);
 	g_free(c);
 	if (slot)
-		slot_free();
+		slot_release();
 }
 
 struct db_client *client_find(int pid)
@@ -63,7 +63,7 @@
 	return NULL;
 }
 
-void clients_active(GString *out)
+void clients_list_active(GString *out)
 {
 	struct db_client *c;
 
@@ -73,7 +73,7 @@
 	}
 }
 
-static void arm(struct db_client *c, int64_t us)
+static void client_set_timer(struct db_client *c, int64_t us)
 {
 	struct timeval tv = {.tv_sec = us / USEC_PER_SEC, .tv_usec = us % USEC_PER_SEC};
 
@@ -93,16 +93,16 @@
 	char text[48];
 
 	if (!server.primary) {
-		/* What reads here show, and the term that wrote it. */
+		/* A replica reports its applied position, and the term of the record there. */
 		p.lsn = server.applied;
 		p.term = p.lsn > 0
 				 ? ((struct record *)g_ptr_array_index(server.log, p.lsn - 1))->term
 				 : 0;
 	}
 	snprintf(text, sizeof(text), "%lu/%lu", p.term, p.lsn);
-	if (strcmp(text, c->told_pos) == 0)
+	if (strcmp(text, c->reported_pos) == 0)
 		return;
-	memcpy(c->told_pos, text, sizeof(text));
+	memcpy(c->reported_pos, text, sizeof(text));
 	pg_put_parameter(out, "mangoloom.position", text);
 }
 
@@ -121,8 +121,8 @@
 	client_write(c, out);
 }
 
-/** The running message is done. */
-static void client_idle(struct db_client *c)
+/** Finishes the current message and goes on with the next one. */
+static void client_message_done(struct db_client *c)
 {
 	c->busy = false;
 	g_queue_clear_full(&c->statements, g_free);
@@ -133,7 +133,7 @@
 	client_process(c);
 }
 
-static bool wait_over(const struct db_client *c)
+static bool pos_wait_satisfied(const struct db_client *c)
 {
 	return pos_cmp(log_pos(), c->wait_for) >= 0 || server.seen_term > c->wait_for.term;
 }
@@ -143,13 +143,13 @@
 	struct db_client *c, *next;
 
 	TAILQ_FOREACH_SAFE(c, &server.clients, link, next) {
-		if (c->wants_pos && wait_over(c))
-			arm(c, 0);
+		if (c->waits_for_pos && pos_wait_satisfied(c))
+			client_set_timer(c, 0);
 	}
 }
 
-/** Run the statement at the head, whose needs are met. */
-static void client_run_one(struct db_client *c)
+/** Runs the first queued statement, which has its slot or log position. */
+static void client_run_statement(struct db_client *c)
 {
 	char *sql = g_queue_pop_head(&c->statements);
 	GByteArray *out = g_byte_array_new();
@@ -157,7 +157,7 @@
 
 	c->error = !sql_run(c, sql, out);
 	g_free(sql);
-	/* The statement may have ended this very connection. */
+	/* The statement may have terminated its own connection. */
 	if (client_find(pid) == NULL) {
 		g_byte_array_unref(out);
 		return;
@@ -165,14 +165,14 @@
 	client_write(c, out);
 	if (c->in_slot) {
 		c->in_slot = false;
-		slot_free();
+		slot_release();
 	}
 	if (c->error)
 		g_queue_clear_full(&c->statements, g_free);
-	client_go_on(c);
+	client_run_next(c);
 }
 
-static void client_timer(evutil_socket_t fd, short what, void *arg)
+static void on_client_timer(evutil_socket_t fd, short what, void *arg)
 {
 	struct db_client *c = arg;
 
@@ -182,31 +182,31 @@
 		client_process(c);
 		return;
 	}
-	c->wants_pos = false;
-	client_run_one(c);
+	c->waits_for_pos = false;
+	client_run_statement(c);
 }
 
-static void client_go_on(struct db_client *c)
+static void client_run_next(struct db_client *c)
 {
 	const char *sql = g_queue_peek_head(&c->statements);
 
 	if (sql == NULL) {
-		client_idle(c);
+		client_message_done(c);
 		return;
 	}
 	if (strncmp(sql, "STREAM", 6) == 0) {
-		log_stream(c, sql);
+		log_start_stream(c, sql);
 		if (c->closing)
 			client_close(c);
 		return;
 	}
-	switch (sql_work(c, sql)) {
+	switch (sql_work_kind(c, sql)) {
 	case WORK_NONE:
-		client_run_one(c);
+		client_run_statement(c);
 		return;
 	case WORK_WAIT:
-		c->wants_pos = true;
-		arm(c, wait_over(c) ? 0 : WAIT_US);
+		c->waits_for_pos = true;
+		client_set_timer(c, pos_wait_satisfied(c) ? 0 : POS_WAIT_TIMEOUT_US);
 		return;
 	case WORK_SLOT:
 		break;
@@ -220,24 +220,25 @@
 	server.peak_slots = MAX(server.peak_slots, server.busy_slots);
 	c->in_slot = true;
 	if (server.work_us == 0) {
-		client_run_one(c);
+		client_run_statement(c);
 		return;
 	}
-	arm(c, server.work_us);
+	client_set_timer(c, server.work_us);
 }
 
-static void client_statements(struct db_client *c, const char *text, bool extended)
+static void client_start_statements(struct db_client *c, const char *text, bool extended)
 {
 	c->busy = true;
 	c->error = false;
 	c->extended = extended;
 	c->statements = sql_split(text);
-	client_go_on(c);
+	client_run_next(c);
 }
 
 static void handle_startup(struct db_client *c, struct pg_reader *r)
 {
-	struct pg_error full = {"FATAL", "53300", "sorry, too many clients already", NULL, NULL};
+	struct pg_error too_many_clients = {"FATAL", "53300", "sorry, too many clients already",
+					    NULL, NULL};
 	bool replication = false;
 	GByteArray *out;
 	guint mark;
@@ -252,7 +253,7 @@
 	}
 	out = g_byte_array_new();
 	if (!replication && server.n_clients >= server.connections) {
-		pg_put_error(out, &full);
+		pg_put_error(out, &too_many_clients);
 		client_write(c, out);
 		c->closing = true;
 		return;
@@ -268,7 +269,7 @@
 	pg_put_u32(out, 1);
 	pg_end(out, mark);
 	client_write(c, out);
-	arm(c, server.open_ms * USEC_PER_MSEC);
+	client_set_timer(c, server.open_ms * USEC_PER_MSEC);
 }
 
 static void handle_bind(struct db_client *c, struct pg_reader *r)
@@ -294,7 +295,7 @@
 		g_free(values[i]);
 }
 
-static void put_described(struct db_client *c, GByteArray *out)
+static void put_statement_description(struct db_client *c, GByteArray *out)
 {
 	const char *sql = c->prepared != NULL ? c->prepared : "";
 	unsigned n = 0;
@@ -308,19 +309,19 @@
 		pg_put_u32(out, 25);
 	pg_end(out, mark);
 	if (sql_returns_row(sql)) {
-		GByteArray *all = g_byte_array_new();
+		GByteArray *messages = g_byte_array_new();
 		uint32_t len;
 
-		pg_put_one_value(all, "value", "", "SELECT 1");
-		memcpy(&len, all->data + 1, sizeof(len));
-		pg_put_bytes(out, all->data, 1 + GUINT32_FROM_BE(len));
-		g_byte_array_unref(all);
+		pg_put_one_value(messages, "value", "", "SELECT 1");
+		memcpy(&len, messages->data + 1, sizeof(len));
+		pg_put_bytes(out, messages->data, 1 + GUINT32_FROM_BE(len));
+		g_byte_array_unref(messages);
 	} else {
 		pg_put_empty(out, 'n');
 	}
 }
 
-static void handle_extended(struct db_client *c, char type, struct pg_reader *r)
+static void handle_extended_message(struct db_client *c, char type, struct pg_reader *r)
 {
 	GByteArray *out = g_byte_array_new();
 
@@ -337,7 +338,7 @@
 		break;
 	case 'D':
 		if (pg_read_u8(r) == 'S')
-			put_described(c, out);
+			put_statement_description(c, out);
 		else
 			c->describe = true;
 		break;
@@ -350,14 +351,14 @@
 	client_write(c, out);
 }
 
-static void client_take(struct db_client *c, struct pg_message *m)
+static void client_handle_message(struct db_client *c, struct pg_message *m)
 {
 	struct pg_reader r = pg_reader(m);
 
 	if (!c->started) {
 		handle_startup(c, &r);
 	} else if (m->type == 'Q') {
-		client_statements(c, pg_read_text(&r), false);
+		client_start_statements(c, pg_read_text(&r), false);
 	} else if (m->type == 'X') {
 		c->closing = true;
 	} else if (m->type == 'S') {
@@ -366,9 +367,9 @@
 	} else if (c->skip_to_sync) {
 		return;
 	} else if (m->type == 'E') {
-		client_statements(c, c->bound != NULL ? c->bound : "", true);
+		client_start_statements(c, c->bound != NULL ? c->bound : "", true);
 	} else {
-		handle_extended(c, m->type, &r);
+		handle_extended_message(c, m->type, &r);
 	}
 }
 
@@ -381,7 +382,7 @@
 	while (!c->busy && !c->closing && !(c->counted && !c->started)) {
 		if (pg_message_read(in, !c->started, 64 << 20, &m) != PG_MESSAGE)
 			return;
-		client_take(c, &m);
+		client_handle_message(c, &m);
 		pg_message_clear(&m);
 		if (client_find(pid) == NULL)
 			return;
@@ -390,7 +391,7 @@
 		client_close(c);
 }
 
-static void client_read(struct bufferevent *bev, void *arg)
+static void on_client_read(struct bufferevent *bev, void *arg)
 {
 	struct db_client *c = arg;
 
@@ -398,7 +399,7 @@
 		client_process(c);
 }
 
-static void client_written(struct bufferevent *bev, void *arg)
+static void on_client_written(struct bufferevent *bev, void *arg)
 {
 	struct db_client *c = arg;
 
@@ -406,7 +407,7 @@
 		client_close(c);
 }
 
-static void client_event(struct bufferevent *bev, short what, void *arg)
+static void on_client_event(struct bufferevent *bev, short what, void *arg)
 {
 	if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
 		client_close(arg);
@@ -420,8 +421,8 @@
 	net_set_nodelay(fd);
 	c->pid = ++server.next_pid;
 	c->bev = bufferevent_socket_new(server.base, fd, BEV_OPT_CLOSE_ON_FREE);
-	c->timer = event_new(server.base, -1, 0, client_timer, c);
-	bufferevent_setcb(c->bev, client_read, client_written, client_event, c);
+	c->timer = event_new(server.base, -1, 0, on_client_timer, c);
+	bufferevent_setcb(c->bev, on_client_read, on_client_written, on_client_event, c);
 	bufferevent_enable(c->bev, EV_READ | EV_WRITE);
 	TAILQ_INSERT_TAIL(&server.clients, c, link);
 }
@@ -429,18 +430,18 @@
 int main(int argc, char **argv)
 {
 	struct arg_str *name = arg_str1(NULL, "name", "NAME", "member's name");
-	struct arg_str *address = arg_str1(NULL, "address", "IP:PORT", "where to listen");
-	struct arg_lit *primary = arg_lit0(NULL, "primary", "lead term 1");
-	struct arg_str *follow = arg_str0(NULL, "follow", "NAME", "replicate from");
-	struct arg_str *upstream = arg_str0(NULL, "upstream", "IP:PORT", "its address");
-	struct arg_int *slots = arg_int0(NULL, "slots", "N", "statements side by side (2)");
+	struct arg_str *address = arg_str1(NULL, "address", "IP:PORT", "address to listen on");
+	struct arg_lit *primary = arg_lit0(NULL, "primary", "start as the primary of term 1");
+	struct arg_str *follow = arg_str0(NULL, "follow", "NAME", "primary to replicate from");
+	struct arg_str *upstream = arg_str0(NULL, "upstream", "IP:PORT", "address of that primary");
+	struct arg_int *slots = arg_int0(NULL, "slots", "N", "concurrent statements (2)");
 	struct arg_int *connections =
 		arg_int0(NULL, "connections", "N", "connections accepted (16)");
 	struct arg_int *open_ms = arg_int0(NULL, "open-ms", "N", "time to open a connection (12)");
 	struct arg_int *work_us =
-		arg_int0(NULL, "work-us", "N", "time of a statement in its slot (0)");
+		arg_int0(NULL, "work-us", "N", "execution time of a statement (0)");
 	struct arg_int *lag_ms =
-		arg_int0(NULL, "lag-ms", "N", "time from a record's arrival to its being read (0)");
+		arg_int0(NULL, "lag-ms", "N", "delay between receiving and applying a record (0)");
 	struct arg_end *end = arg_end(8);
 	void *table[] = {name,	      address, primary, follow, upstream, slots,
 			 connections, open_ms, work_us, lag_ms, end};
@@ -469,7 +470,7 @@
 		fprintf(stderr, "standin-db: %s\n", error->message);
 		return 1;
 	}
-	log_start();
+	log_start_keepalive();
 	if (primary->count > 0) {
 		server.seen_term = 1;
 		log_promote(1, ignored);
--- a/tests/standin-platform.c
+++ b/tests/standin-platform.c
@@ -1,9 +1,15 @@
 /**
  * @file standin-platform.c
- * Stand-in for the platform's key-value service: the part of etcd's JSON gateway that mangoloom
- * uses, in memory. Faults are switched by POST /control with {"delay_ms": N, "down": bool,
- * "silent": bool, "lose_answers": bool,
- * "mute_watches": bool}; GET /stats tells how many calls came.
+ * Simulates the platform's key-value service in memory: the part of etcd's JSON gateway that
+ * mangoloom uses. POST /control sets faults, by a JSON object with any of these members:
+ *
+ *   "delay_ms": N          delay answers
+ *   "down": bool           answer 503 and close watches
+ *   "silent": bool         do not answer
+ *   "lose_answers": bool   execute transactions, but answer 503
+ *   "mute_watches": bool   send no events to watches
+ *
+ * GET /stats returns the number of calls by kind.
  */
 #include "kernel.h"
 
@@ -18,7 +24,7 @@
 
 struct kv {
 	char *key;
-	char *value; /**< base64, as it came; NULL for a removal */
+	char *value; /**< base64, as received; NULL for a delete */
 	int64_t revision;
 };
 
@@ -32,12 +38,12 @@
 static struct {
 	struct event_base *base;
 	GTree *kvs;
-	GPtrArray *events; /**< of kv, in order */
+	GPtrArray *events; /**< of struct kv, by revision */
 	int64_t revision;
 	struct watches watches;
 	int64_t delay_ms;
 	bool down, silent, lose_answers, mute_watches;
-	int64_t ranges, txns, watched;
+	int64_t ranges, txns, watches_opened;
 } db = {.watches = TAILQ_HEAD_INITIALIZER(db.watches)};
 
 static int compare(gconstpointer a, gconstpointer b, gpointer data)
@@ -45,7 +51,7 @@
 	return strcmp(a, b);
 }
 
-static char *decoded(JsonObject *o, const char *name)
+static char *decode_member(JsonObject *o, const char *name)
 {
 	gsize len;
 	char *raw = (char *)g_base64_decode(json_object_get_string_member_with_default(o, name, ""),
@@ -56,7 +62,7 @@
 	return text;
 }
 
-static void put(const char *key, const char *value)
+static void kv_put(const char *key, const char *value)
 {
 	struct kv *e = g_new0(struct kv, 1);
 
@@ -106,7 +112,7 @@
 
 static char *serve_range(JsonObject *o)
 {
-	char *from = decoded(o, "key"), *end = decoded(o, "range_end");
+	char *from = decode_member(o, "key"), *end = decode_member(o, "range_end");
 	struct range_walk w = {.from = from, .end = end, .out = g_string_new(NULL)};
 
 	db.ranges++;
@@ -119,7 +125,7 @@
 	return g_string_free(w.out, FALSE);
 }
 
-static void watch_tell(struct watch *w, guint first)
+static void watch_send_events(struct watch *w, guint first)
 {
 	GString *out = g_string_new(NULL);
 	struct evbuffer *buf;
@@ -147,21 +153,21 @@
 	g_string_free(out, TRUE);
 }
 
-static bool txn_holds(JsonObject *o)
+static bool txn_conditions_hold(JsonObject *o)
 {
 	JsonArray *compares = json_object_get_array_member(o, "compare");
 	guint i;
 
 	for (i = 0; i < json_array_get_length(compares); i++) {
 		JsonObject *c = json_array_get_object_element(compares, i);
-		char *key = decoded(c, "key");
+		char *key = decode_member(c, "key");
 		const struct kv *e = g_tree_lookup(db.kvs, key);
-		long wanted =
+		long expected_revision =
 			strtol(json_object_get_string_member_with_default(c, "mod_revision", "0"),
 			       NULL, 10);
 
 		g_free(key);
-		if ((e != NULL ? e->revision : 0) != wanted)
+		if ((e != NULL ? e->revision : 0) != expected_revision)
 			return false;
 	}
 	return true;
@@ -170,31 +176,31 @@
 static char *serve_txn(JsonObject *o)
 {
 	JsonArray *ops = json_object_get_array_member(o, "success");
-	bool holds = txn_holds(o);
+	bool succeeded = txn_conditions_hold(o);
 	guint first = db.events->len;
 	struct watch *w;
 	guint i;
 
 	db.txns++;
-	if (holds)
+	if (succeeded)
 		db.revision++;
-	for (i = 0; holds && i < json_array_get_length(ops); i++) {
+	for (i = 0; succeeded && i < json_array_get_length(ops); i++) {
 		JsonObject *op = json_array_get_object_element(ops, i);
 		bool is_put = json_object_has_member(op, "request_put");
 		JsonObject *req = json_object_get_object_member(
 			op, is_put ? "request_put" : "request_delete_range");
-		char *key = decoded(req, "key");
+		char *key = decode_member(req, "key");
 
-		put(key,
-		    is_put ? json_object_get_string_member_with_default(req, "value", "") : NULL);
+		kv_put(key, is_put ? json_object_get_string_member_with_default(req, "value", "")
+				   : NULL);
 		g_free(key);
 	}
-	if (holds && !db.down) {
+	if (succeeded && !db.down) {
 		TAILQ_FOREACH(w, &db.watches, link)
-			watch_tell(w, first);
+			watch_send_events(w, first);
 	}
 	return g_strdup_printf("{\"header\":{\"revision\":\"%ld\"},\"succeeded\":%s}",
-			       (long)db.revision, holds ? "true" : "false");
+			       (long)db.revision, succeeded ? "true" : "false");
 }
 
 static void watch_closed(struct evhttp_connection *conn, void *arg)
@@ -217,10 +223,10 @@
 	struct evbuffer *buf = evbuffer_new();
 	guint first = 0;
 
-	db.watched++;
+	db.watches_opened++;
 	w->req = req;
-	w->key = decoded(create, "key");
-	w->end = decoded(create, "range_end");
+	w->key = decode_member(create, "key");
+	w->end = decode_member(create, "range_end");
 	TAILQ_INSERT_TAIL(&db.watches, w, link);
 	evhttp_connection_set_closecb(evhttp_request_get_connection(req), watch_closed, w);
 	evhttp_send_reply_start(req, 200, "OK");
@@ -232,22 +238,22 @@
 	while (first < db.events->len &&
 	       ((struct kv *)g_ptr_array_index(db.events, first))->revision < start)
 		first++;
-	watch_tell(w, first);
+	watch_send_events(w, first);
 }
 
-struct late {
+struct delayed_reply {
 	struct evhttp_request *req;
 	char *body;
-	bool lose;
+	bool lose_answer;
 };
 
-static void reply_late(evutil_socket_t fd, short what, void *arg)
+static void send_delayed_reply(evutil_socket_t fd, short what, void *arg)
 {
-	struct late *l = arg;
+	struct delayed_reply *l = arg;
 	struct evbuffer *buf = evbuffer_new();
 
 	evbuffer_add(buf, l->body, strlen(l->body));
-	if (l->lose)
+	if (l->lose_answer)
 		evhttp_send_error(l->req, 503, "the answer is lost");
 	else
 		evhttp_send_reply(l->req, 200, "OK", buf);
@@ -256,21 +262,21 @@
 	g_free(l);
 }
 
-static void reply(struct evhttp_request *req, char *body, bool lose)
+static void reply(struct evhttp_request *req, char *body, bool lose_answer)
 {
-	struct late *l = g_new0(struct late, 1);
+	struct delayed_reply *l = g_new0(struct delayed_reply, 1);
 	struct timeval tv = {.tv_sec = db.delay_ms / 1000, .tv_usec = (db.delay_ms % 1000) * 1000};
 
 	l->req = req;
 	l->body = body;
-	l->lose = lose;
+	l->lose_answer = lose_answer;
 	if (db.delay_ms == 0)
-		reply_late(-1, 0, l);
+		send_delayed_reply(-1, 0, l);
 	else
-		event_base_once(db.base, -1, EV_TIMEOUT, reply_late, l, &tv);
+		event_base_once(db.base, -1, EV_TIMEOUT, send_delayed_reply, l, &tv);
 }
 
-static void end_watches(void)
+static void close_watches(void)
 {
 	struct watch *w, *next;
 
@@ -283,7 +289,7 @@
 	}
 }
 
-static void control(JsonObject *o)
+static void apply_control(JsonObject *o)
 {
 	db.delay_ms = json_object_get_int_member_with_default(o, "delay_ms", db.delay_ms);
 	db.down = json_object_get_boolean_member_with_default(o, "down", db.down);
@@ -293,7 +299,7 @@
 	db.mute_watches =
 		json_object_get_boolean_member_with_default(o, "mute_watches", db.mute_watches);
 	if (db.down)
-		end_watches();
+		close_watches();
 }
 
 static void serve(struct evhttp_request *req, void *arg)
@@ -310,12 +316,12 @@
 	if (strcmp(path, "/stats") == 0) {
 		reply(req,
 		      g_strdup_printf("{\"ranges\":%ld,\"txns\":%ld,\"watches\":%ld}",
-				      (long)db.ranges, (long)db.txns, (long)db.watched),
+				      (long)db.ranges, (long)db.txns, (long)db.watches_opened),
 		      false);
 	} else if (o == NULL) {
 		evhttp_send_error(req, 400, "no JSON");
 	} else if (strcmp(path, "/control") == 0) {
-		control(o);
+		apply_control(o);
 		reply(req, g_strdup("{}"), false);
 	} else if (db.silent) {
 		g_object_unref(parser);
@@ -334,7 +340,7 @@
 	g_object_unref(parser);
 }
 
-/** Put the list of VMs in the file @a path, as the platform would. */
+/** Stores the list of VMs from file @a path under the key platform/vms. */
 static void load_vms(const char *path)
 {
 	char *text, *b64;
@@ -344,7 +350,7 @@
 		return;
 	b64 = g_base64_encode((const guchar *)text, len);
 	db.revision++;
-	put("platform/vms", b64);
+	kv_put("platform/vms", b64);
 	g_free(b64);
 	g_free(text);
 }
--- a/tests/standin-prepared-member.c
+++ b/tests/standin-prepared-member.c
@@ -1,4 +1,4 @@
-/** @file standin-prepared-member.c The stand-in's database members. */
+/** @file standin-prepared-member.c Database members of standin-prepared. */
 #include "standin-prepared.h"
 
 #include "platform-line.h"
@@ -8,10 +8,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_US 5000
-#define PROMOTE_US (150 * USEC_PER_MSEC)
-/** A replaced primary hears of its successor after this. */
-#define DEMOTE_US (1 * USEC_PER_SEC)
+#define TICK_INTERVAL_US 5000
+/** Time between the promoter's request and the promotion. */
+#define PROMOTION_DELAY_US (150 * USEC_PER_MSEC)
+/** Time between a promotion and the demotion of the previous primary. */
+#define DEMOTION_DELAY_US (1 * USEC_PER_SEC)
 
 struct standin_conn {
 	struct standin_member *m;
@@ -22,17 +23,17 @@
 	bool read_only;
 	GPtrArray *writes; /**< of the open transaction */
 	char *last_request;
-	GHashTable *prepared; /**< name to "READ shape" */
+	GHashTable *prepared; /**< statement name to "READ ..." or "WRITE ..." */
 };
 
 static struct {
 	struct standin_member *target;
 	int64_t at_us;
-	struct standin_member *old;
+	struct standin_member *old_primary;
 	int64_t demote_us;
 } promotion;
 
-struct standin_member *member_named(const char *name)
+struct standin_member *member_by_name(const char *name)
 {
 	unsigned i;
 
@@ -43,7 +44,7 @@
 	return NULL;
 }
 
-struct standin_member *member_leading(void)
+struct standin_member *member_newest_primary(void)
 {
 	struct standin_member *best = NULL;
 	unsigned i;
@@ -65,7 +66,7 @@
 		"\"v1\","
 		"\"slots\":2,\"state\":\"%s\",\"cold-remaining-ms\":0,\"database-role\":\"%s\","
 		"\"sequence\":1,\"born\":1}",
-		standin.service, m->shown_port, m->name, m->draining ? "draining" : "ready",
+		standin.service, m->advertised_port, m->name, m->draining ? "draining" : "ready",
 		m->primary ? "primary" : "replica");
 
 	store_put(key, value, 0);
@@ -123,28 +124,28 @@
 			    pos.lsn);
 }
 
-static void fail(struct standin_conn *c, const char *code)
+static void reply_error(struct standin_conn *c, const char *code)
 {
 	if (c->state == TX_OPEN)
 		c->state = TX_FAILED;
 	reply(c, "ERROR %s %s\r\n", code, c->m->name);
 }
 
-static void done(struct standin_conn *c)
+static void reply_complete(struct standin_conn *c)
 {
 	static unsigned n;
 
 	reply(c, "COMPLETE %s.%u\r\n", c->m->name, ++n);
 }
 
-static void commit(struct standin_conn *c)
+static void tx_commit(struct standin_conn *c)
 {
 	struct standin_member *m = c->m;
 	struct standin_record *r;
 
 	if (c->writes->len == 0)
 		return;
-	if (m != member_leading())
+	if (m != member_newest_primary())
 		standin.replaced_commits++;
 	r = g_new0(struct standin_record, 1);
 	r->term = m->term;
@@ -155,8 +156,8 @@
 	c->writes = g_ptr_array_new_with_free_func(g_free);
 }
 
-static const char *value_of(const struct standin_member *m, const struct standin_conn *c,
-			    const char *item)
+static const char *read_item(const struct standin_member *m, const struct standin_conn *c,
+			     const char *item)
 {
 	const char *value = "-";
 	guint i, j;
@@ -178,8 +179,8 @@
 
 static void run_read(struct standin_conn *c, const char *item)
 {
-	evbuffer_add_printf(bufferevent_get_output(c->bev), "ROW %s\r\n", value_of(c->m, c, item));
-	done(c);
+	evbuffer_add_printf(bufferevent_get_output(c->bev), "ROW %s\r\n", read_item(c->m, c, item));
+	reply_complete(c);
 }
 
 static void run_write(struct standin_conn *c, const char *request, char *operands)
@@ -187,7 +188,7 @@
 	char *item = line_next_field(&operands);
 
 	if (!c->m->primary || c->read_only) {
-		fail(c, "READONLY");
+		reply_error(c, "READONLY");
 		return;
 	}
 	g_ptr_array_add(c->writes, g_strdup(item));
@@ -195,21 +196,21 @@
 	g_free(c->last_request);
 	c->last_request = g_strdup(request);
 	if (c->state == TX_NONE)
-		commit(c);
-	done(c);
+		tx_commit(c);
+	reply_complete(c);
 }
 
 static void run_execute(struct standin_conn *c, const char *request, struct statement *st)
 {
-	const char *shape = g_hash_table_lookup(c->prepared, st->name);
+	const char *template = g_hash_table_lookup(c->prepared, st->name);
 	char *operands;
 
-	if (shape == NULL) {
-		fail(c, "NOSUCHNAME");
+	if (template == NULL) {
+		reply_error(c, "NOSUCHNAME");
 		return;
 	}
 	operands = g_strdup(st->operand);
-	if (g_str_has_prefix(shape, "WRITE"))
+	if (g_str_has_prefix(template, "WRITE"))
 		run_write(c, request, operands);
 	else
 		run_read(c, operands);
@@ -219,7 +220,7 @@
 static void run_begin(struct standin_conn *c, bool read_only)
 {
 	if (!read_only && !c->m->primary) {
-		fail(c, "READONLY");
+		reply_error(c, "READONLY");
 		return;
 	}
 	c->state = TX_OPEN;
@@ -227,32 +228,33 @@
 	reply(c, "COMPLETE -\r\n");
 }
 
-static void run_end(struct standin_conn *c, bool commits)
+static void run_end_tx(struct standin_conn *c, bool is_commit)
 {
-	enum tx_state was = c->state;
+	enum tx_state previous_state = c->state;
 
 	c->state = TX_NONE;
-	if (commits && was == TX_OPEN && c->m->primary)
-		commit(c);
-	else if (commits && was == TX_OPEN && c->writes->len > 0) {
+	if (is_commit && previous_state == TX_OPEN && c->m->primary)
+		tx_commit(c);
+	else if (is_commit && previous_state == TX_OPEN && c->writes->len > 0) {
 		g_ptr_array_set_size(c->writes, 0);
-		fail(c, "READONLY");
+		reply_error(c, "READONLY");
 		return;
 	}
 	g_ptr_array_set_size(c->writes, 0);
 	c->read_only = false;
-	done(c);
+	reply_complete(c);
 }
 
-/** STATUS, PAUSE and STEPDOWN. @return whether @a text was one */
-static bool run_order(struct standin_conn *c, char *text)
+/** Runs STATUS, PAUSE or STEPDOWN. @return whether @a text was one of them */
+static bool run_control_statement(struct standin_conn *c, char *text)
 {
 	struct standin_member *m = c->m;
 	struct pos pos = log_end(m);
 	char *rest;
 
 	if (line_match_keyword(text, "STEPDOWN", &rest)) {
-		if (m->primary && m->term < strtoull(rest, NULL, 10) && m != member_leading())
+		if (m->primary && m->term < strtoull(rest, NULL, 10) &&
+		    m != member_newest_primary())
 			m->primary = false;
 	} else if (strcmp(text, "STATUS") != 0 && !line_match_keyword(text, "PAUSE", &rest)) {
 		return false;
@@ -264,12 +266,12 @@
 	return true;
 }
 
-static void run(struct standin_conn *c, const char *request, char *text)
+static void run_statement(struct standin_conn *c, const char *request, char *text)
 {
 	struct statement st;
 	char *rest;
 
-	if (strcmp(request, "-") == 0 && run_order(c, text))
+	if (strcmp(request, "-") == 0 && run_control_statement(c, text))
 		return;
 	if (strcmp(text, "RESET") == 0) {
 		g_hash_table_remove_all(c->prepared);
@@ -278,7 +280,7 @@
 	}
 	if (line_match_keyword(text, "WAITFOR", &rest)) {
 		if (!log_has(c->m, line_parse_pos(line_next_field(&rest)))) {
-			fail(c, "LAGGING");
+			reply_error(c, "LAGGING");
 			return;
 		}
 		text = rest;
@@ -300,7 +302,7 @@
 		break;
 	case STATEMENT_COMMIT:
 	case STATEMENT_ROLLBACK:
-		run_end(c, st.op == STATEMENT_COMMIT);
+		run_end_tx(c, st.op == STATEMENT_COMMIT);
 		break;
 	case STATEMENT_PREPARE:
 		g_hash_table_replace(
@@ -315,15 +317,15 @@
 	line_statement_clear(&st);
 }
 
-/** Whether the answer that was just written is to be spoiled. */
-static bool spoil(struct standin_conn *c)
+/** Applies pending answer faults to the answer in the output buffer. @return whether one applied */
+static bool apply_answer_fault(struct standin_conn *c)
 {
 	struct evbuffer *out = bufferevent_get_output(c->bev);
 	struct standin_member *m = c->m;
 
 	if (m->lose_answers > 0) {
 		m->lose_answers--;
-		/* The connection says nothing any more. */
+		/* The connection stays open but sends and reads nothing more. */
 		evbuffer_drain(out, evbuffer_get_length(out));
 		bufferevent_disable(c->bev, EV_READ | EV_WRITE);
 		return true;
@@ -339,7 +341,7 @@
 	return false;
 }
 
-static void on_line(struct standin_conn *c, char *line, bool *gone)
+static void handle_line(struct standin_conn *c, char *line, bool *closed)
 {
 	char *rest, *request;
 
@@ -350,7 +352,7 @@
 
 		if (service == NULL || strcmp(service, standin.service) != 0 ||
 		    (id != NULL && strcmp(id, c->m->name) != 0)) {
-			fail(c, "MISROUTED");
+			reply_error(c, "MISROUTED");
 			return;
 		}
 		g_strlcpy(c->team, team != NULL ? team : "", sizeof(c->team));
@@ -366,20 +368,20 @@
 	}
 	if (strcmp(request, "-") != 0)
 		c->m->statements++;
-	run(c, request, rest);
+	run_statement(c, request, rest);
 	if (strcmp(request, "-") != 0)
-		*gone = spoil(c);
+		*closed = apply_answer_fault(c);
 }
 
 static void on_read(struct bufferevent *bev, void *arg)
 {
 	struct standin_conn *c = arg;
-	bool gone = false;
+	bool closed = false;
 	char *line;
 
-	while (!gone && c->m->mode == MEMBER_UP &&
+	while (!closed && c->m->mode == MEMBER_UP &&
 	       line_take(bufferevent_get_input(bev), &line) == LINE_COMPLETE) {
-		on_line(c, line, &gone);
+		handle_line(c, line, &closed);
 		free(line);
 	}
 }
@@ -416,7 +418,7 @@
 void member_promote(struct standin_member *m)
 {
 	promotion.target = m;
-	promotion.at_us = standin_now_us() + PROMOTE_US;
+	promotion.at_us = standin_now_us() + PROMOTION_DELAY_US;
 }
 
 static void promotion_tick(int64_t now)
@@ -424,31 +426,31 @@
 	struct standin_member *t = promotion.target;
 	unsigned i;
 
-	if (promotion.old != NULL && now > promotion.demote_us &&
-	    promotion.old->mode == MEMBER_UP) {
-		struct standin_member *lead = member_leading();
+	if (promotion.old_primary != NULL && now > promotion.demote_us &&
+	    promotion.old_primary->mode == MEMBER_UP) {
+		struct standin_member *lead = member_newest_primary();
 
-		promotion.old->primary = promotion.old == lead;
-		promotion.old->term = lead->term;
-		if (promotion.old != lead)
-			truncate_log(promotion.old, lead->log->len);
-		promotion.old = NULL;
+		promotion.old_primary->primary = promotion.old_primary == lead;
+		promotion.old_primary->term = lead->term;
+		if (promotion.old_primary != lead)
+			truncate_log(promotion.old_primary, lead->log->len);
+		promotion.old_primary = NULL;
 	}
 	if (t == NULL || now < promotion.at_us || t->mode != MEMBER_UP)
 		return;
-	promotion.old = member_leading();
-	promotion.demote_us = now + DEMOTE_US;
+	promotion.old_primary = member_newest_primary();
+	promotion.demote_us = now + DEMOTION_DELAY_US;
 	promotion.target = NULL;
-	t->term = promotion.old->term + 1;
+	t->term = promotion.old_primary->term + 1;
 	t->primary = true;
 	standin.promotions++;
 	for (i = 0; i < standin.n; i++) {
 		struct standin_member *m = &standin.member[i];
 
-		if (m == t || m == promotion.old)
+		if (m == t || m == promotion.old_primary)
 			continue;
 		truncate_log(m, t->log->len);
-		/* One that an earlier promotion replaced must not lead the new term too. */
+		/* A previously replaced primary must not stay primary in the new term. */
 		m->primary = false;
 		m->term = t->term;
 	}
@@ -457,7 +459,7 @@
 
 static void replicate(int64_t now)
 {
-	struct standin_member *lead = member_leading();
+	struct standin_member *lead = member_newest_primary();
 	unsigned i;
 
 	for (i = 0; i < standin.n; i++) {
@@ -498,7 +500,7 @@
 	}
 }
 
-void member_mode(struct standin_member *m, const char *name)
+void member_set_mode(struct standin_member *m, const char *name)
 {
 	enum standin_mode mode = MEMBER_UP;
 	guint i;
@@ -506,7 +508,7 @@
 	if (strcmp(name, "down") == 0)
 		mode = MEMBER_DOWN;
 	else if (strcmp(name, "dark") == 0)
-		mode = MEMBER_DARK;
+		mode = MEMBER_SILENT;
 	if (mode == MEMBER_DOWN && m->listener != NULL) {
 		evconnlistener_free(m->listener);
 		m->listener = NULL;
@@ -525,7 +527,7 @@
 
 void members_start(void)
 {
-	const struct timeval tv = {.tv_usec = TICK_US};
+	const struct timeval tv = {.tv_usec = TICK_INTERVAL_US};
 	struct event *ev = event_new(standin.base, -1, EV_PERSIST, on_tick, NULL);
 	unsigned i;
 
--- a/tests/standin-prepared-store.c
+++ b/tests/standin-prepared-store.c
@@ -1,4 +1,4 @@
-/** @file standin-prepared-store.c The stand-in's store. */
+/** @file standin-prepared-store.c Key-value store of standin-prepared. */
 #include "standin-prepared.h"
 
 #include <event2/buffer.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <time.h>
 
-#define TICK_US 10000
+#define TICK_INTERVAL_US 10000
 
 struct item {
 	char *value;
@@ -50,7 +50,7 @@
 	return (int64_t)ts.tv_sec * USEC_PER_SEC + ts.tv_nsec / 1000;
 }
 
-void store_mode(const char *name)
+void store_set_mode(const char *name)
 {
 	mode = STORE_OK;
 	if (strcmp(name, "refuse") == 0)
@@ -74,7 +74,8 @@
 	return strcmp(a, b);
 }
 
-static void note(const char *key, const char *value)
+/** Appends a change to the history under the next revision. */
+static void add_record(const char *key, const char *value)
 {
 	struct change *c = g_new0(struct change, 1);
 
@@ -88,7 +89,7 @@
 {
 	struct item *it = g_new0(struct item, 1);
 
-	note(key, value);
+	add_record(key, value);
 	it->value = g_strdup(value);
 	it->revision = revision;
 	it->lease = lease;
@@ -100,7 +101,7 @@
 	if (g_tree_lookup(items, key) == NULL)
 		return;
 	g_tree_remove(items, key);
-	note(key, NULL);
+	add_record(key, NULL);
 }
 
 void store_compact(void)
@@ -119,9 +120,9 @@
 	g_ptr_array_set_size(watches, 0);
 }
 
-/* A copy of the store, from which it comes back */
+/* Copy and restore */
 
-/** What the store was when the copy was made. */
+/** State of the store when the copy was made. */
 static struct {
 	GTree *items;
 	GHashTable *leases;
@@ -166,68 +167,69 @@
 	copy.revision = revision;
 }
 
-/** Keys of the system under test; all others are written by the operators and the members. */
-static bool is_own(const char *key)
+/** Whether mangoloom writes @a key; operators and members write all others. */
+static bool is_mangoloom_key(const char *key)
 {
 	return g_str_has_prefix(key, "mangoloom/");
 }
 
-/** What the operators and the members had written when the store came back, until it is again. */
-static GTree *to_rewrite;
-static int64_t rewrite_us;
+/** Items at the time of the restore. NULL once the later changes have been written again. */
+static GTree *items_to_rewrite;
+static int64_t rewrite_at_us;
 
-/** Whether the key is as it was in the copy: nobody has written it since. */
-static bool is_as_copied(const struct item *it)
+/** Whether nothing has written the key since the restore. */
+static bool unchanged_since_copy(const struct item *it)
 {
 	return it == NULL || it->revision <= copy.revision;
 }
 
-static gboolean write_again(gpointer key, gpointer value, gpointer data)
+static gboolean rewrite_item(gpointer key, gpointer value, gpointer data)
 {
 	const struct item *it = value, *now = g_tree_lookup(items, key);
 
-	if (!is_own(key) && is_as_copied(now) &&
+	if (!is_mangoloom_key(key) && unchanged_since_copy(now) &&
 	    (now == NULL || strcmp(now->value, it->value) != 0))
 		store_put(key, it->value, 0);
 	return FALSE;
 }
 
-static gboolean note_removed(gpointer key, gpointer value, gpointer gone)
+static gboolean collect_removed(gpointer key, gpointer value, gpointer removed)
 {
-	if (!is_own(key) && is_as_copied(value) && g_tree_lookup(to_rewrite, key) == NULL)
-		g_ptr_array_add(gone, g_strdup(key));
+	if (!is_mangoloom_key(key) && unchanged_since_copy(value) &&
+	    g_tree_lookup(items_to_rewrite, key) == NULL)
+		g_ptr_array_add(removed, g_strdup(key));
 	return FALSE;
 }
 
-static void rewrite(void)
+static void rewrite_later_changes(void)
 {
-	GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
+	GPtrArray *removed = g_ptr_array_new_with_free_func(g_free);
 	guint i;
 
-	g_tree_foreach(to_rewrite, write_again, NULL);
-	g_tree_foreach(items, note_removed, gone);
-	for (i = 0; i < gone->len; i++)
-		store_remove(g_ptr_array_index(gone, i));
-	g_ptr_array_unref(gone);
-	g_clear_pointer(&to_rewrite, g_tree_unref);
+	g_tree_foreach(items_to_rewrite, rewrite_item, NULL);
+	g_tree_foreach(items, collect_removed, removed);
+	for (i = 0; i < removed->len; i++)
+		store_remove(g_ptr_array_index(removed, i));
+	g_ptr_array_unref(removed);
+	g_clear_pointer(&items_to_rewrite, g_tree_unref);
 }
 
 void store_restore(int64_t rewrite_after_us)
 {
 	if (copy.items == NULL)
 		return;
-	if (to_rewrite != NULL)
-		rewrite();
+	if (items_to_rewrite != NULL)
+		rewrite_later_changes();
 	era++;
-	to_rewrite = items;
+	items_to_rewrite = items;
 	items = items_copy(copy.items);
 	g_hash_table_unref(standin.leases);
 	standin.leases = leases_copy(copy.leases);
 	revision = copy.revision;
 	store_compact();
-	rewrite_us = standin_now_us() + rewrite_after_us;
+	rewrite_at_us = standin_now_us() + rewrite_after_us;
 	if (rewrite_after_us == 0)
-		rewrite();
+		rewrite_later_changes();
 }
 
 /* Answers */
@@ -286,7 +288,7 @@
 	bool more;
 };
 
-#define PAGE 5
+#define RANGE_PAGE_ITEMS 5
 
 static gboolean range_add(gpointer key, gpointer value, gpointer data)
 {
@@ -295,7 +297,7 @@
 
 	if (!g_str_has_prefix(key, r->prefix) || strcmp(key, r->after) <= 0)
 		return FALSE;
-	if (r->n == PAGE) {
+	if (r->n == RANGE_PAGE_ITEMS) {
 		r->more = true;
 		return TRUE;
 	}
@@ -316,8 +318,12 @@
 	send_text(req, 200, r.out);
 }
 
-/** Answer a watch if there is something to tell, or its time is over. */
-static bool watch_answer(struct evhttp_request *req, const char *prefix, uint64_t after, bool over)
+/**
+ * Answers a watch if there are events after revision @a after or if it has timed out; answers 410
+ * if that revision was compacted or is not assigned yet. @return whether it was answered
+ */
+static bool watch_answer(struct evhttp_request *req, const char *prefix, uint64_t after,
+			 bool timed_out)
 {
 	GString *out;
 	unsigned n = 0;
@@ -342,7 +348,7 @@
 					       c->key, c->revision);
 		g_string_append_c(out, '}');
 	}
-	if (n == 0 && !over) {
+	if (n == 0 && !timed_out) {
 		g_string_free(out, TRUE);
 		return false;
 	}
@@ -392,9 +398,9 @@
 	for (i = 0; i < json_array_get_length(guards); i++) {
 		JsonObject *g = json_array_get_object_element(guards, i);
 		struct item *it = g_tree_lookup(items, json_object_get_string_member(g, "key"));
-		uint64_t want = (uint64_t)json_object_get_int_member(g, "revision");
+		uint64_t expected_revision = (uint64_t)json_object_get_int_member(g, "revision");
 
-		if ((it != NULL ? it->revision : 0) != want)
+		if ((it != NULL ? it->revision : 0) != expected_revision)
 			return false;
 	}
 	return true;
@@ -473,14 +479,14 @@
 		send_lease(req, id, l);
 }
 
-struct ended {
+struct lease_keys {
 	uint64_t lease;
 	GPtrArray *keys;
 };
 
-static gboolean ended_add(gpointer key, gpointer value, gpointer data)
+static gboolean lease_keys_add(gpointer key, gpointer value, gpointer data)
 {
-	struct ended *e = data;
+	struct lease_keys *e = data;
 
 	if (((struct item *)value)->lease == e->lease)
 		g_ptr_array_add(e->keys, g_strdup(key));
@@ -489,11 +495,11 @@
 
 static void lease_end(uint64_t id)
 {
-	struct ended e = {.lease = id, .keys = g_ptr_array_new_with_free_func(g_free)};
+	struct lease_keys e = {.lease = id, .keys = g_ptr_array_new_with_free_func(g_free)};
 	guint i;
 
 	g_hash_table_remove(standin.leases, GSIZE_TO_POINTER(id));
-	g_tree_foreach(items, ended_add, &e);
+	g_tree_foreach(items, lease_keys_add, &e);
 	for (i = 0; i < e.keys->len; i++)
 		store_remove(g_ptr_array_index(e.keys, i));
 	g_ptr_array_unref(e.keys);
@@ -550,7 +556,7 @@
 	evhttp_clear_headers(&q);
 }
 
-static void tick(evutil_socket_t fd, short what, void *arg)
+static void on_tick(evutil_socket_t fd, short what, void *arg)
 {
 	int64_t now = standin_now_us();
 	GList *ids = g_hash_table_get_keys(standin.leases);
@@ -564,8 +570,8 @@
 			lease_end(GPOINTER_TO_SIZE(l->data));
 	}
 	g_list_free(ids);
-	if (to_rewrite != NULL && now >= rewrite_us)
-		rewrite();
+	if (items_to_rewrite != NULL && now >= rewrite_at_us)
+		rewrite_later_changes();
 	while (i < watches->len && mode != STORE_SILENT) {
 		struct watch *w = g_ptr_array_index(watches, i);
 
@@ -581,8 +587,8 @@
 
 void store_start(void)
 {
-	const struct timeval tv = {.tv_usec = TICK_US};
-	struct event *ev = event_new(standin.base, -1, EV_PERSIST, tick, NULL);
+	const struct timeval tv = {.tv_usec = TICK_INTERVAL_US};
+	struct event *ev = event_new(standin.base, -1, EV_PERSIST, on_tick, NULL);
 
 	items = g_tree_new_full(key_cmp, NULL, g_free, item_free);
 	history = g_ptr_array_new();
--- a/tests/standin-prepared.c
+++ b/tests/standin-prepared.c
@@ -1,11 +1,30 @@
 /**
  * @file standin-prepared.c
- * What stands on the other side of the prepared platform's wires, in one process: the store with
- * leases, watches and conditional writes, the call that promotes, and the members of one database
- * group. Faults are switched by POST /fault on the store's address, and GET /report tells what has
- * happened.
+ * Simulates, in one process, the services that mangoloom uses on the prepared platform: the
+ * key-value store with leases, watches and conditional writes; the promoter, which promotes a
+ * replica; and the members of one database group.
  *
- * standin-prepared --store PORT --promoter PORT --service NAME --member NAME:PORT...
+ * standin-prepared --store PORT --promoter PORT --service NAME --member NAME:PORT[:ADVERTISED]...
+ *
+ * POST /fault on the store's port injects faults or changes data. Members of its JSON object:
+ *
+ *   "store": "ok" | "refuse" | "silent"   answer normally, with 503, or not at all
+ *   "lose_writes": N                      execute the next N transactions, but do not answer
+ *   "refuse_promotions": bool             refuse to promote
+ *   "compact": any                        drop the change history and end all watches
+ *   "copy": any                           save a copy of the store
+ *   "restore": MS                         restore the copy, rewrite later changes after MS
+ *   "put": KEY, "value": TEXT             write a key
+ *   "remove": KEY                         delete a key
+ *   "member": NAME                        apply the following to one member:
+ *   "mode": "up" | "down" | "dark"        run, refuse connections, or go silent
+ *   "lose_answers": N                     do not answer the next N statements
+ *   "cut_answers": N                      break off the next N answers
+ *   "busy": N                             refuse the next N statements as BUSY
+ *   "lag_ms": MS                          set the replication lag
+ *   "draining": bool                      set the state in its store entry
+ *
+ * GET /report returns counters, the members and the primary's log.
  */
 #include "standin-prepared.h"
 
@@ -45,10 +64,10 @@
 	json_builder_end_array(b);
 }
 
-/** Ids of the requests that the newest primary's log holds, in order. */
+/** Adds the request ids in the log of the primary with the highest term, in order. */
 static void put_log(JsonBuilder *b)
 {
-	const struct standin_member *m = member_leading();
+	const struct standin_member *m = member_newest_primary();
 	guint i;
 
 	json_builder_set_member_name(b, "log");
@@ -92,15 +111,15 @@
 	g_object_unref(b);
 }
 
-static void fault_member(JsonObject *o)
+static void apply_member_fault(JsonObject *o)
 {
 	struct standin_member *m =
-		member_named(json_object_get_string_member_with_default(o, "member", ""));
+		member_by_name(json_object_get_string_member_with_default(o, "member", ""));
 
 	if (m == NULL)
 		return;
 	if (json_object_has_member(o, "mode"))
-		member_mode(m, json_object_get_string_member(o, "mode"));
+		member_set_mode(m, json_object_get_string_member(o, "mode"));
 	if (json_object_has_member(o, "lose_answers"))
 		m->lose_answers = (int)json_object_get_int_member(o, "lose_answers");
 	if (json_object_has_member(o, "cut_answers"))
@@ -125,7 +144,7 @@
 				       (gssize)evbuffer_get_length(in), NULL)) {
 		o = json_node_get_object(json_parser_get_root(parser));
 		if (json_object_has_member(o, "store"))
-			store_mode(json_object_get_string_member(o, "store"));
+			store_set_mode(json_object_get_string_member(o, "store"));
 		if (json_object_has_member(o, "lose_writes"))
 			standin.lose_writes = (int)json_object_get_int_member(o, "lose_writes");
 		if (json_object_has_member(o, "refuse_promotions"))
@@ -142,7 +161,7 @@
 				  json_object_get_string_member(o, "value"), 0);
 		if (json_object_has_member(o, "remove"))
 			store_remove(json_object_get_string_member(o, "remove"));
-		fault_member(o);
+		apply_member_fault(o);
 	}
 	g_object_unref(parser);
 	evhttp_send_reply(req, 200, "OK", NULL);
@@ -171,7 +190,7 @@
 
 	if (json_parser_load_from_data(parser, (const char *)evbuffer_pullup(in, -1),
 				       (gssize)evbuffer_get_length(in), NULL))
-		m = member_named(json_object_get_string_member_with_default(
+		m = member_by_name(json_object_get_string_member_with_default(
 			json_node_get_object(json_parser_get_root(parser)), "id", ""));
 	g_object_unref(parser);
 	if (standin.refuse_promotions || m == NULL || token == NULL || holder == NULL ||
@@ -182,7 +201,7 @@
 	if (strtoull(token, NULL, 10) < standin.token)
 		standin.token_regressed++;
 	standin.token = strtoull(token, NULL, 10);
-	if (!m->primary || m != member_leading())
+	if (!m->primary || m != member_newest_primary())
 		member_promote(m);
 	evhttp_send_reply(req, 200, "OK", NULL);
 }
@@ -193,10 +212,10 @@
 	const char *colon = strchr(text, ':');
 
 	g_strlcpy(m->name, text, (gsize)(colon - text) + 1);
-	m->port = m->shown_port = atoi(colon + 1);
+	m->port = m->advertised_port = atoi(colon + 1);
 	colon = strchr(colon + 1, ':');
 	if (colon != NULL)
-		m->shown_port = atoi(colon + 1);
+		m->advertised_port = atoi(colon + 1);
 	m->primary = standin.n == 1;
 	m->term = 1;
 	m->log = g_ptr_array_new();
@@ -221,7 +240,8 @@
 			add_member(argv[i + 1]);
 	}
 	if (store == NULL || promoter == NULL || standin.service == NULL || standin.n == 0) {
-		fprintf(stderr, "standin-prepared: --store, --promoter, --service and --member\n");
+		fprintf(stderr,
+			"standin-prepared: needs --store, --promoter, --service and --member\n");
 		return 2;
 	}
 	store_start();
--- a/tests/standin-prepared.h
+++ b/tests/standin-prepared.h
@@ -1,6 +1,11 @@
 /**
  * @file standin-prepared.h
- * The parts of the stand-in for the prepared platform: its store and its members.
+ * Store and members of standin-prepared. A member is a database server of a group. The store's era
+ * counts how often it came back from an older copy.
+ *
+ * standin-prepared.c          command line, faults, report, promoter
+ * standin-prepared-store.c    key-value store
+ * standin-prepared-member.c   members
  */
 #ifndef STANDIN_PREPARED_H
 #define STANDIN_PREPARED_H
@@ -19,14 +24,14 @@
 
 enum standin_mode {
 	MEMBER_UP,
-	MEMBER_DOWN, /**< its process is gone: connections are refused */
-	MEMBER_DARK, /**< no byte comes back */
+	MEMBER_DOWN,   /**< process has exited: connections are refused */
+	MEMBER_SILENT, /**< accepts connections, but sends nothing */
 };
 
-/** A commit. */
+/** A committed transaction in a member's log. */
 struct standin_record {
 	uint64_t term;
-	char *request;	   /**< id of the write, or of the last one of a transaction */
+	char *request;	   /**< request id of the last write of the transaction */
 	GPtrArray *writes; /**< item, data, item, data ... */
 	int64_t at_us;
 };
@@ -36,20 +41,20 @@
 struct standin_member {
 	char name[NAME_SIZE];
 	int port;
-	int shown_port; /**< that its entry in the store tells */
+	int advertised_port; /**< port in its entry in the store */
 	bool primary;
 	uint64_t term;
-	GPtrArray *log; /**< of standin_record; a replica's is a prefix of its primary's */
+	GPtrArray *log; /**< struct standin_record; replicas hold a prefix of the primary's log */
 	int64_t lag_us;
 	bool draining;
 	enum standin_mode mode;
-	int lose_answers; /**< answers that are lost from now on, with their connections */
-	int cut_answers;  /**< answers that break off midway */
-	int busy;	  /**< statements that are refused as busy */
+	int lose_answers; /**< answers still to be dropped; their connections go silent */
+	int cut_answers;  /**< answers still to be sent incompletely, then closing the connection */
+	int busy;	  /**< statements still to be refused with BUSY */
 	struct evconnlistener *listener;
 	GPtrArray *conns;
 	unsigned n_conns;
-	int statements; /**< of callers, that reached it */
+	int statements; /**< statements received from callers */
 };
 
 struct standin {
@@ -57,14 +62,14 @@
 	const char *service;
 	unsigned n;
 	struct standin_member member[STANDIN_MEMBERS_MAX];
-	uint64_t token;
+	uint64_t token; /**< fencing token of the last promotion */
 	int promotions;
-	int token_regressed;  /**< promotions under a lower token than one before */
+	int token_regressed;  /**< promotions with a lower fencing token than an earlier one */
 	int foreign_tx;	      /**< connections that a second team used */
-	int replaced_commits; /**< commits at a member after another one led a later term */
+	int replaced_commits; /**< commits at a member that had been replaced as primary */
 	int store_calls;
 	bool refuse_promotions;
-	int lose_writes; /**< writes to the store that are done and not answered */
+	int lose_writes; /**< transactions of the store still to be executed but not answered */
 	GHashTable *leases;
 };
 
@@ -75,14 +80,16 @@
 /* standin-prepared-store.c */
 void store_start(void);
 void store_request(struct evhttp_request *req, void *arg);
-/** "ok", "refuse", "silent". */
-void store_mode(const char *mode);
+/** Sets the store's mode: "ok", "refuse" or "silent". */
+void store_set_mode(const char *mode);
+/** Drops the change history and ends all watches. */
 void store_compact(void);
-/** Make a copy of the store as it is now, leases included. */
+/** Saves a copy of the store, including leases. */
 void store_copy(void);
 /**
- * The store comes back from the copy under the next era: revisions are given out again, and what
- * the operators and the members wrote since is written again after @a rewrite_after_us.
+ * Restores the store from the copy and increments the era. Revisions since the copy are assigned
+ * again. Changes made since the copy by operators and members, but not by mangoloom, are written
+ * again after @a rewrite_after_us.
  */
 void store_restore(int64_t rewrite_after_us);
 void store_put(const char *key, const char *value, uint64_t lease);
@@ -90,13 +97,14 @@
 
 /* standin-prepared-member.c */
 void members_start(void);
-struct standin_member *member_named(const char *name);
-/** The member that leads the highest term. */
-struct standin_member *member_leading(void);
+struct standin_member *member_by_name(const char *name);
+/** Returns the primary with the highest term. */
+struct standin_member *member_newest_primary(void);
+/** Promotes @a m after a delay; the previous primary is demoted later. */
 void member_promote(struct standin_member *m);
-/** "up", "down", "dark". */
-void member_mode(struct standin_member *m, const char *mode);
-/** Write the member's entry to the store. */
+/** Sets the member's mode: "up", "down" or "dark" (MEMBER_SILENT). */
+void member_set_mode(struct standin_member *m, const char *mode);
+/** Writes the member's entry to the store. */
 void member_register(struct standin_member *m);
 
 #endif
--- a/tests/test-it-caller.c
+++ b/tests/test-it-caller.c
@@ -26,7 +26,7 @@
 
 static void test_extended_protocol(void)
 {
-	PGconn *c = fleet_orders(shared(), 0);
+	PGconn *c = fleet_connect_orders(shared(), 0);
 	const char *values[] = {"ext", "it is"};
 	PGresult *r;
 
@@ -79,7 +79,7 @@
 		{"SELECT 1; BEGIN; SELECT 2", "0A000"},
 		{"SET mangoloom.once = 'a''b'", "22023"},
 	};
-	PGconn *c = fleet_orders(shared(), 0);
+	PGconn *c = fleet_connect_orders(shared(), 0);
 	unsigned i;
 
 	for (i = 0; i < G_N_ELEMENTS(refused); i++) {
@@ -180,7 +180,7 @@
 	int i, refused = 0;
 
 	for (i = 0; i < 45; i++) {
-		c[i] = fleet_orders(f, 0);
+		c[i] = fleet_connect_orders(f, 0);
 		refused += PQstatus(c[i]) != CONNECTION_OK;
 	}
 	CHECK(refused >= 5 && refused < 12, "%d of 45 refused", refused);
@@ -189,7 +189,7 @@
 	 * All were ended for being idle, and their last words wait to be read. A new caller was
 	 * refused then as one too many, though none of them is served any more.
 	 */
-	PGconn *next = fleet_orders(f, 0);
+	PGconn *next = fleet_connect_orders(f, 0);
 	CHECK(PQstatus(next) == CONNECTION_OK, "%s", PQerrorMessage(next));
 	PQfinish(next);
 	for (i = 0; i < 45; i++) {
@@ -202,7 +202,7 @@
 
 static void test_message_over_the_limit(void)
 {
-	PGconn *c = fleet_orders(shared(), 0);
+	PGconn *c = fleet_connect_orders(shared(), 0);
 	char *big = g_strnfill(100000, 'x');
 	const char *state = sql(c, NULL, 0, "SELECT '%s'", big);
 
@@ -233,7 +233,7 @@
 static void test_log_has_no_secrets(void)
 {
 	struct test_fleet *f = shared();
-	PGconn *c = fleet_orders(f, 0);
+	PGconn *c = fleet_connect_orders(f, 0);
 	char *path = g_strdup_printf("%s/%s.log", f->dir, f->vm[0].name), *text = NULL;
 
 	sql(c, NULL, 0, "INSERT INTO orders VALUES ('secret-key', 'secret-value')");
@@ -302,7 +302,7 @@
 	CHECK(tls_connect(f, "require", value, sizeof(value)) == CONNECTION_OK, "TLS, required");
 	CHECK(tls_connect(f, "disable", value, sizeof(value)) != CONNECTION_OK,
 	      "a key in clear is accepted");
-	c = fleet_orders(f, 1);
+	c = fleet_connect_orders(f, 1);
 	CHECK(PQstatus(c) == CONNECTION_OK, "another VM");
 	PQfinish(c);
 	fleet_tear_down(f);
--- a/tests/test-it-explain.c
+++ b/tests/test-it-explain.c
@@ -49,7 +49,7 @@
 	int i;
 
 	f->rate = 2;
-	line_document(f);
+	line_write_document(f);
 	test_sleep_ms(400);
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
 	for (i = 0; i < 30; i++) {
@@ -58,7 +58,7 @@
 		line_send(&many[i], line, strlen(line));
 	}
 	for (i = 0; i < 30; i++) {
-		line_answer(&many[i]);
+		line_read_answer(&many[i]);
 		if (strcmp(many[i].code, "BUSY") == 0) {
 			g_snprintf(id, sizeof(id), "rate.%d", i);
 			g_strlcpy(c.text, many[i].text, sizeof(c.text));
--- a/tests/test-it-failover.c
+++ b/tests/test-it-failover.c
@@ -75,7 +75,7 @@
 	struct writer w[WRITERS];
 	int primary = fleet_primary(f);
 
-	fleet_platform(f, "{\"down\":true}");
+	fleet_platform_fault(f, "{\"down\":true}");
 	start_writers(w, f);
 	fleet_member_signal(f, primary, SIGKILL);
 	CHECK(wait_until(primary_moved, f, &primary, 14000), "no new primary");
@@ -138,13 +138,13 @@
 	int inside_acked;
 
 	start_writers(w, f);
-	fleet_cut(f, "dc1", true);
+	fleet_partition(f, "dc1", true);
 	CHECK(wait_until(primary_moved, f, &primary, 14000), "no new primary");
 	inside_acked = w[0].acked;
 	test_sleep_ms(1500);
 	CHECK(w[0].acked == inside_acked, "%d acknowledged by a replaced primary",
 	      w[0].acked - inside_acked);
-	fleet_cut(f, "dc1", false);
+	fleet_partition(f, "dc1", false);
 	stop_writers(w, f, 3000, "primary cut off with its home");
 	fleet_tear_down(f);
 }
@@ -157,7 +157,7 @@
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
 	int primary = fleet_primary(f);
-	PGconn *c = fleet_orders(f, 1);
+	PGconn *c = fleet_connect_orders(f, 1);
 	const char *state;
 	int i;
 
--- a/tests/test-it-fleet.c
+++ b/tests/test-it-fleet.c
@@ -25,7 +25,7 @@
 static void test_withdrawn_key(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
-	char *second = fleet_key(f, "clerks"), *id, *end, *out;
+	char *second = fleet_create_key(f, "clerks"), *id, *end, *out;
 	PGconn *idle[3], *fresh;
 	int64_t start;
 	int i, code;
@@ -52,12 +52,12 @@
 	fresh = fleet_connect(f, 1, "clerks", second, "");
 	CHECK(PQstatus(fresh) != CONNECTION_OK, "a withdrawn key is accepted");
 	PQfinish(fresh);
-	fresh = fleet_orders(f, 1);
+	fresh = fleet_connect_orders(f, 1);
 	CHECK(PQstatus(fresh) == CONNECTION_OK, "the other key is refused");
 	PQfinish(fresh);
 	/* A VM that can't be told is named, and hears of it as soon as it can. */
 	g_free(id);
-	id = fleet_key(f, "clerks");
+	id = fleet_create_key(f, "clerks");
 	end = strchr(id + strlen("mlk_"), '_');
 	idle[0] = fleet_connect(f, 2, "clerks", id, "-c mangoloom.kind=order");
 	*end = '\0';
@@ -91,21 +91,21 @@
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){
 		.vms = 6, .settings = "[keys]\ntrust_without_news_ms = 5000\n"});
-	PGconn *c = fleet_orders(f, 2);
+	PGconn *c = fleet_connect_orders(f, 2);
 	const char *state;
 	int vm = 2;
 
 	CHECK(strcmp(sql(c, NULL, 0, "INSERT INTO orders VALUES ('before', 'x')"), "00000") == 0,
 	      "before the cut");
-	fleet_cut(f, "dc3", true);
-	fleet_platform(f, "{\"down\":true}");
+	fleet_partition(f, "dc3", true);
+	fleet_platform_fault(f, "{\"down\":true}");
 	/* Two VMs are in there and hear each other: they must not assure each other for ever. */
 	test_sleep_ms(7500);
 	state = sql(c, NULL, 0, "SELECT 1");
 	CHECK(strcmp(state, "28P01") == 0, "%s", state);
 	PQfinish(c);
-	fleet_cut(f, "dc3", false);
-	fleet_platform(f, "{\"down\":false}");
+	fleet_partition(f, "dc3", false);
+	fleet_platform_fault(f, "{\"down\":false}");
 	CHECK(wait_until(reads_served, f, &vm, 8000), "not served after the cut");
 	fleet_tear_down(f);
 }
@@ -141,10 +141,10 @@
 	CHECK(fleet_cli(f, &out, "history") == 0 && strstr(out, "key given to clerks") != NULL,
 	      "%s", out);
 	g_free(out);
-	fleet_platform(f, "{\"down\":true}");
+	fleet_platform_fault(f, "{\"down\":true}");
 	CHECK(fleet_cli(f, NULL, "get routes") == 1, "without the platform");
 	CHECK(fleet_cli(f, NULL, "key give clerks") == 1, "without the platform");
-	fleet_platform(f, "{\"down\":false}");
+	fleet_platform_fault(f, "{\"down\":false}");
 	CHECK(fleet_cli(f, NULL, "stop %s", f->vm[2].name) == 0, "stop");
 	CHECK(fleet_vm_wait(f, 2) == 0, "ended");
 	fleet_tear_down(f);
@@ -214,9 +214,9 @@
 	text = routes_with_rate(7777);
 	path = fleet_file(f, "lost.toml", text);
 	version = fleet_status(f, 0, "conf_version");
-	fleet_platform(f, "{\"lose_answers\":true}");
+	fleet_platform_fault(f, "{\"lose_answers\":true}");
 	code = fleet_cli(f, NULL, "apply --routes %s", path);
-	fleet_platform(f, "{\"lose_answers\":false}");
+	fleet_platform_fault(f, "{\"lose_answers\":false}");
 	CHECK(code == 0, "%d", code);
 	version++;
 	CHECK(wait_until(versions_equal, f, &version, 5000), "not in force as version %ld",
@@ -241,7 +241,7 @@
 	fleet_vm_signal(f, 1, SIGSTOP);
 	code = fleet_cli(f, NULL, "apply --routes %s --wait-ms 300", path);
 	CHECK(code == 6, "one VM can't confirm: %d", code);
-	fleet_platform(f, "{\"down\":true}");
+	fleet_platform_fault(f, "{\"down\":true}");
 	fleet_vm_signal(f, 2, SIGKILL);
 	fleet_vm_signal(f, 1, SIGCONT);
 	fleet_vm_start(f, 2);
@@ -253,12 +253,12 @@
 	for (i = 0; i < 3; i++) {
 		const char *state;
 
-		c = fleet_orders(f, i);
+		c = fleet_connect_orders(f, i);
 		state = sql(c, NULL, 0, "INSERT INTO orders VALUES ('x', 'x')");
 		CHECK(strcmp(state, "00000") == 0, "VM %d: %s", i, state);
 		PQfinish(c);
 	}
-	fleet_platform(f, "{\"down\":false}");
+	fleet_platform_fault(f, "{\"down\":false}");
 	CHECK(wait_until(versions_equal, f, &version, 5000), "not in force everywhere");
 	g_free(path);
 	g_free(text);
@@ -276,7 +276,7 @@
 	int64_t version = fleet_status(f, 0, "conf_version") + 1;
 	int code;
 
-	fleet_platform(f, "{\"mute_watches\":true}");
+	fleet_platform_fault(f, "{\"mute_watches\":true}");
 	code = fleet_cli(f, NULL, "apply --routes %s --wait-ms 5000", path);
 	CHECK(code == 0, "%d", code);
 	CHECK(versions_equal(f, &version), "not in force everywhere");
@@ -427,8 +427,8 @@
 			     "-c mangoloom.kind=page -c mangoloom.max_age_ms=3600000 -c "
 			     "mangoloom.deadline_ms=3000");
 	sql(page, NULL, 0, "SELECT value FROM warm WHERE key = 'up'");
-	fleet_cut(f, "dc3", true);
-	fleet_platform(f, "{\"down\":true}");
+	fleet_partition(f, "dc3", true);
+	fleet_platform_fault(f, "{\"down\":true}");
 	test_sleep_ms(500);
 	for (i = 0; i < 10; i++) {
 		state = sql(page, NULL, 0, "SELECT value FROM warm WHERE key = 'up'");
@@ -436,14 +436,14 @@
 		test_sleep_ms(100);
 	}
 	CHECK(served_pages >= 9, "%d of 10 pages", served_pages);
-	order = fleet_orders(f, 0);
+	order = fleet_connect_orders(f, 0);
 	state = sql(order, NULL, 0, "INSERT INTO orders VALUES ('outside', 'x')");
 	CHECK(strcmp(state, "00000") == 0, "%s", state);
 	PQfinish(order);
-	fleet_cut(f, "dc3", false);
-	fleet_platform(f, "{\"down\":false}");
+	fleet_partition(f, "dc3", false);
+	fleet_platform_fault(f, "{\"down\":false}");
 	CHECK(wait_until(reads_served, f, &vm, 8000), "reads are not served after the cut");
-	order = fleet_orders(f, 2);
+	order = fleet_connect_orders(f, 2);
 	state = sql(order, NULL, 0, "INSERT INTO orders VALUES ('healed', 'x')");
 	CHECK(strcmp(state, "00000") == 0, "%s", state);
 	PQfinish(order);
--- a/tests/test-it-line.c
+++ b/tests/test-it-line.c
@@ -120,16 +120,16 @@
 
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
 	line_send(&c, "QUERY - WRITE z1 hidden\r\n", 25);
-	CU_ASSERT_STRING_EQUAL(line_answer(&c), "MALFORMED");
+	CU_ASSERT_STRING_EQUAL(line_read_answer(&c), "MALFORMED");
 	IS(&c, "MALFORMED", "WAITFOR 1.1 READ a1");
 	IS(&c, "MALFORMED", "STEPDOWN 9");
 	line_send(&c, "QUERY 77 READ a1\rQUERY - STEPDOWN 99\r\n", 38);
-	CU_ASSERT_STRING_EQUAL(line_answer(&c), "MALFORMED");
+	CU_ASSERT_STRING_EQUAL(line_read_answer(&c), "MALFORMED");
 	line_close(&c);
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
 	line_send(&c, "QUERY 78 WRITE z2 ", 18);
 	line_send(&c, big, 1100000);
-	CU_ASSERT_STRING_EQUAL(line_answer(&c), "TOOLARGE");
+	CU_ASSERT_STRING_EQUAL(line_read_answer(&c), "TOOLARGE");
 	line_close(&c);
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
 	OK(&c, "READ z1");
@@ -176,13 +176,13 @@
 	int64_t until;
 
 	f->keys = "[\"" LINE_KEY "\",\"second\"]";
-	line_document(f);
+	line_write_document(f);
 	until = test_now_ms() + 5000;
 	while (!line_connect(&c, f, 1, LINE_DB_PRIMARY, "second") && test_now_ms() < until)
 		line_close(&c);
 	OK(&c, "WRITE k1 x");
 	f->keys = "[\"" LINE_KEY "\"]";
-	line_document(f);
+	line_write_document(f);
 	until = test_now_ms() + 5000;
 	while (strcmp(line_query(&c, "READ k1"), "COMPLETE") == 0 && test_now_ms() < until)
 		test_sleep_ms(20);
@@ -203,7 +203,7 @@
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
 	OK(&c, "WRITE b1 x");
 	line_close(&c);
-	line_document(f);
+	line_write_document(f);
 }
 
 /* The store turns all calls away, or says nothing: what runs goes on, since leases outlast it. */
@@ -225,7 +225,7 @@
 	}
 	line_fault(f, "{\"compact\":true}");
 	f->keys = "[\"" LINE_KEY "\",\"third\"]";
-	line_document(f);
+	line_write_document(f);
 	int64_t until = test_now_ms() + 8000;
 	while (!line_connect(&c, f, 2, LINE_DB_PRIMARY, "third") && test_now_ms() < until)
 		line_close(&c);
@@ -245,7 +245,7 @@
 	test_sleep_ms(300);
 	OK(&c, "WRITE h1 x");
 	line_close(&c);
-	log = line_log(f, 2);
+	log = line_vm_log(f, 2);
 	CU_ASSERT_PTR_NOT_NULL(strstr(log, "event=reload"));
 	g_free(log);
 }
@@ -292,7 +292,7 @@
 	} while (c.code[0] == '\0' && test_now_ms() < until);
 	CHECK(strcmp(c.code, "BUSY") == 0, "%s %s", c.code, c.text);
 	line_fault(f, "{\"store\":\"ok\"}");
-	CU_ASSERT_TRUE(line_write_until(f, 0, 10000));
+	CU_ASSERT_TRUE(line_wait_until_writable(f, 0, 10000));
 	line_fleet_stop(f);
 }
 
--- a/tests/test-it-once.c
+++ b/tests/test-it-once.c
@@ -10,7 +10,7 @@
 
 static bool served(struct test_fleet *f, void *arg)
 {
-	PGconn *c = fleet_orders(f, *(int *)arg);
+	PGconn *c = fleet_connect_orders(f, *(int *)arg);
 	bool ok = strcmp(sql(c, NULL, 0, "INSERT INTO warm VALUES ('again', '1')"), "00000") == 0;
 
 	PQfinish(c);
@@ -114,7 +114,7 @@
 static void test_silent_connections_are_replaced(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
-	PGconn *c = fleet_orders(f, 1);
+	PGconn *c = fleet_connect_orders(f, 1);
 	int round;
 
 	for (round = 0; round < 3; round++) {
@@ -165,7 +165,7 @@
 static void test_once_id_stops_a_repetition(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
-	PGconn *c = fleet_orders(f, 0), *d;
+	PGconn *c = fleet_connect_orders(f, 0), *d;
 	const char *state;
 	char count[16];
 
@@ -251,7 +251,7 @@
 	struct test_fleet *f =
 		fleet_start_up(&(struct fleet_plan){.connections = 6, .work_us = 300});
 	struct writer w[12];
-	PGconn *c = fleet_orders(f, 0);
+	PGconn *c = fleet_connect_orders(f, 0);
 	int crossed = 0, asked = 0, i;
 
 	memset(w, 0, sizeof(w));
--- a/tests/test-it-owner.c
+++ b/tests/test-it-owner.c
@@ -30,7 +30,7 @@
 	int owner = -1, i;
 
 	for (i = 0; i < f->n_vms; i++) {
-		char *log = line_log(f, i);
+		char *log = line_vm_log(f, i);
 		long own = logged_revision(log, "owner");
 
 		known[i] = MAX(own, MAX(logged_revision(log, "owner-known"),
@@ -68,7 +68,7 @@
 	bool found = false;
 
 	while (!found && test_now_ms() < until) {
-		char *log = line_log(f, vm);
+		char *log = line_vm_log(f, vm);
 
 		found = strstr(log, text) != NULL;
 		g_free(log);
@@ -93,7 +93,7 @@
 		line_writer_start(&w[i], f, i);
 	test_sleep_ms(400);
 	line_fault(f, "{\"member\":\"%s\",\"mode\":\"down\"}", before);
-	CU_ASSERT_TRUE(line_write_until(f, 2, 6000));
+	CU_ASSERT_TRUE(line_wait_until_writable(f, 2, 6000));
 	test_sleep_ms(300);
 	line_primary(f, after);
 	CHECK(strcmp(before, after) != 0, "%s still leads", before);
@@ -117,7 +117,7 @@
 	line_writer_start(&w, f, 1);
 	test_sleep_ms(300);
 	line_fault(f, "{\"member\":\"%s\",\"mode\":\"dark\"}", before);
-	CU_ASSERT_TRUE(line_write_until(f, 2, 8000));
+	CU_ASSERT_TRUE(line_wait_until_writable(f, 2, 8000));
 	line_fault(f, "{\"member\":\"%s\",\"mode\":\"up\"}", before);
 	test_sleep_ms(1500);
 	line_writer_stop(&w);
@@ -160,7 +160,7 @@
 		line_primary(f, after);
 	} while (strcmp(before, after) == 0 && test_now_ms() < until);
 	CHECK(strcmp(before, after) != 0, "%s still leads", before);
-	CU_ASSERT_TRUE(line_write_until(f, 1, 5000));
+	CU_ASSERT_TRUE(line_wait_until_writable(f, 1, 5000));
 	w.stop = 1;
 	g_thread_join(w.thread);
 	CU_ASSERT_EQUAL(w.unknown, 0);
@@ -239,7 +239,7 @@
 	OK(&c, "ROLLBACK");
 	CU_ASSERT_EQUAL(c.state, 'I');
 	start = test_now_ms();
-	CU_ASSERT_TRUE(line_write_until(f, (owner + 1) % 3, 8000));
+	CU_ASSERT_TRUE(line_wait_until_writable(f, (owner + 1) % 3, 8000));
 	printf("writes are back after %ld ms\n", (long)(test_now_ms() - start));
 	OK(&c, "READ o1");
 	CU_ASSERT_STRING_EQUAL(c.row, "-");
@@ -274,7 +274,7 @@
 	CHECK(wait_log(f, entry, "event=reads-begin", 2000), "the read was not served here");
 	test_sleep_ms(900);
 	line_vm_signal(f, owner, SIGCONT);
-	CU_ASSERT_TRUE(line_write_until(f, entry, 8000));
+	CU_ASSERT_TRUE(line_wait_until_writable(f, entry, 8000));
 	OK(&c, "READ x");
 	line_close(&c);
 	line_fleet_stop(f);
@@ -293,13 +293,14 @@
 	entry = (owner + 1) % 3;
 	line_primary(f, primary);
 	line_vm_signal(f, owner, SIGSTOP);
-	CU_ASSERT_TRUE(line_write_until(f, entry, 8000));
+	CU_ASSERT_TRUE(line_wait_until_writable(f, entry, 8000));
 	line_fault(f, "{\"member\":\"%s\",\"mode\":\"dark\"}", primary);
-	CHECK(line_write_until(f, entry, 20000), "no new primary after the lease has ended");
+	CHECK(line_wait_until_writable(f, entry, 20000),
+	      "no new primary after the lease has ended");
 	line_fault(f, "{\"member\":\"%s\",\"mode\":\"up\"}", primary);
 	line_vm_signal(f, owner, SIGCONT);
 	test_sleep_ms(1500);
-	CU_ASSERT_TRUE(line_write_until(f, owner, 8000));
+	CU_ASSERT_TRUE(line_wait_until_writable(f, owner, 8000));
 	CU_ASSERT_EQUAL(line_report(f, "replaced_commits"), 0);
 	CU_ASSERT_EQUAL(line_report(f, "token_regressed"), 0);
 	line_fleet_stop(f);
@@ -357,7 +358,7 @@
 	struct line_client *tx = g_new0(struct line_client, 80);
 
 	f->rate = 40;
-	line_document(f);
+	line_write_document(f);
 	CHECK(wait_log(f, entry, "rate_milli=40000", 5000), "the rate is not in force");
 	line_fault(f, "{\"store\":\"refuse\"}");
 	line_vm_signal(f, owner, SIGSTOP);
@@ -375,7 +376,8 @@
 		      wait_log(f, entry, "retry_after_us=1000000", 3000),
 	      "callers are told to come back too soon");
 	for (i = 0; i < 80; i++) {
-		CHECK(strcmp(line_answer(&c[i]), "COMPLETE") != 0, "statement %d was served", i);
+		CHECK(strcmp(line_read_answer(&c[i]), "COMPLETE") != 0, "statement %d was served",
+		      i);
 		line_close(&c[i]);
 	}
 	for (i = 0; i < 80; i++)
@@ -385,8 +387,8 @@
 	line_vm_signal(f, owner, SIGCONT);
 	line_fault(f, "{\"store\":\"ok\"}");
 	f->rate = 1000;
-	line_document(f);
-	CU_ASSERT_TRUE(line_write_until(f, entry, 20000));
+	line_write_document(f);
+	CU_ASSERT_TRUE(line_wait_until_writable(f, entry, 20000));
 	line_fleet_stop(f);
 }
 
@@ -401,7 +403,7 @@
 	for (i = 0; i < 3; i++)
 		line_vm_start(f, i);
 	for (i = 0; i < 3; i++)
-		CHECK(line_write_until(f, i, 8000), "vm%d", i);
+		CHECK(line_wait_until_writable(f, i, 8000), "vm%d", i);
 	CU_ASSERT_EQUAL(line_report(f, "promotions"), 0);
 	line_fleet_stop(f);
 }
--- a/tests/test-it-rate.c
+++ b/tests/test-it-rate.c
@@ -106,20 +106,20 @@
 static void during_cut(struct test_fleet *f)
 {
 	test_sleep_ms(500);
-	fleet_cut(f, "dc3", true);
+	fleet_partition(f, "dc3", true);
 	test_sleep_ms(3000);
-	fleet_cut(f, "dc3", false);
+	fleet_partition(f, "dc3", false);
 	test_sleep_ms(1000);
 }
 
 static void during_platform_down(struct test_fleet *f)
 {
-	fleet_platform(f, "{\"down\":true}");
+	fleet_platform_fault(f, "{\"down\":true}");
 	test_sleep_ms(1000);
 	fleet_vm_signal(f, 3, SIGKILL);
 	fleet_vm_start(f, 3);
 	test_sleep_ms(2500);
-	fleet_platform(f, "{\"down\":false}");
+	fleet_platform_fault(f, "{\"down\":false}");
 	test_sleep_ms(500);
 }
 
@@ -181,7 +181,7 @@
 	int i;
 
 	for (i = 0; i < 12; i++) {
-		PGconn *c = fleet_orders(f, i % 6);
+		PGconn *c = fleet_connect_orders(f, i % 6);
 		const char *state = sql(c, NULL, 0, "INSERT INTO orders VALUES ('s%d', 'x')", i);
 
 		CHECK(strcmp(state, "00000") == 0, "at VM %d: %s", i % 6, state);
@@ -203,7 +203,7 @@
 		.work_us = 1000,
 		.routes = TEAM("clerks", "100", "50") TEAM("monday", "150", "100") HARNESS_ROUTES});
 	struct writer quiet = {.pause_us = 10000}, alone = {.pause_us = 10000}, busy[BUSY];
-	char *key = fleet_key(f, "monday");
+	char *key = fleet_create_key(f, "monday");
 	int i, refused = 0, acked = 0;
 
 	CHECK(wait_until(share_whole, f, NULL, 10000), "the rate is not given out");
--- a/tests/test-it-restore.c
+++ b/tests/test-it-restore.c
@@ -61,13 +61,13 @@
 
 	line_fault(f, "{\"copy\":1}");
 	for (i = 0; i < LOST_DOCUMENTS; i++)
-		line_document(f);
+		line_write_document(f);
 	f->keys = "[\"" LINE_KEY "\",\"" NEW_KEY "\"]";
-	line_document(f);
+	line_write_document(f);
 	CU_ASSERT_TRUE(keys_in_force(f, NEW_KEY, true, CONF_DEADLINE_MS));
 	line_fault(f, "{\"restore\":0}");
 	f->keys = "[\"" NEW_KEY "\"]";
-	line_document(f);
+	line_write_document(f);
 	CHECK(keys_in_force(f, LINE_KEY, false, CONF_DEADLINE_MS), "a revoked key is served");
 	CHECK(keys_in_force(f, NEW_KEY, true, CONF_DEADLINE_MS), "a key is lost");
 	line_fleet_stop(f);
@@ -78,7 +78,7 @@
 {
 	line_primary(f, before);
 	line_fault(f, "{\"member\":\"%s\",\"mode\":\"dark\"}", before);
-	CHECK(line_write_until(f, 2, SERVED_MS), "no primary after %s", before);
+	CHECK(line_wait_until_writable(f, 2, SERVED_MS), "no primary after %s", before);
 }
 
 /* Guards against a replaced primary being believed, and a fencing token going back. */
@@ -95,7 +95,7 @@
 	change_primary(f, first);
 	line_fault(f, "{\"restore\":0}");
 	line_fault(f, "{\"member\":\"%s\",\"mode\":\"up\"}", first);
-	CHECK(line_write_until(f, 2, SERVED_MS), "not served after the restore");
+	CHECK(line_wait_until_writable(f, 2, SERVED_MS), "not served after the restore");
 	change_primary(f, second);
 	line_fault(f, "{\"member\":\"%s\",\"mode\":\"up\"}", second);
 	test_sleep_ms(1000);
@@ -119,12 +119,12 @@
 		line_vm_signal(f, i, SIGKILL);
 	for (i = 0; i < 3; i++)
 		line_vm_start(f, i);
-	CHECK(line_write_until(f, 0, SERVED_MS), "not served after the restart");
+	CHECK(line_wait_until_writable(f, 0, SERVED_MS), "not served after the restart");
 	line_writer_start(&w, f, 1);
 	line_fault(f, "{\"restore\":0}");
 	test_sleep_ms(1000);
 	for (i = 0; i < 3; i++)
-		CHECK(line_write_until(f, i, SERVED_MS), "vm%d", i);
+		CHECK(line_wait_until_writable(f, i, SERVED_MS), "vm%d", i);
 	line_writer_stop(&w);
 	CU_ASSERT_EQUAL(line_report(f, "replaced_commits"), 0);
 	CU_ASSERT_EQUAL(line_report(f, "promotions"), 0);
@@ -138,7 +138,7 @@
 
 	line_fault(f, "{\"copy\":1}");
 	f->keys = "[\"" NEW_KEY "\"]";
-	line_document(f);
+	line_write_document(f);
 	CU_ASSERT_TRUE(keys_in_force(f, LINE_KEY, false, CONF_DEADLINE_MS));
 	line_fault(f, "{\"restore\":%d}", REWRITE_MS);
 	CHECK(!key_served(f, LINE_KEY, REWRITE_MS * 2), "a revoked key is served");
--- a/tests/test-it-session.c
+++ b/tests/test-it-session.c
@@ -23,7 +23,7 @@
 static int roam(struct test_fleet *f, const char *kind, int n, const char *prefix)
 {
 	char options[128], value[64], wanted[64];
-	PGconn *w = fleet_orders(f, 0), *r;
+	PGconn *w = fleet_connect_orders(f, 0), *r;
 	int stale = 0, i;
 
 	snprintf(options, sizeof(options), "-c mangoloom.kind=%s", kind);
@@ -105,7 +105,7 @@
 static void test_age_is_measured(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 3000});
-	PGconn *w = fleet_orders(f, 0), *r;
+	PGconn *w = fleet_connect_orders(f, 0), *r;
 	char value[64];
 	int i, stale = 0;
 
@@ -127,7 +127,7 @@
 static void test_own_connection_remembers(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 2000});
-	PGconn *c = fleet_orders(f, 2);
+	PGconn *c = fleet_connect_orders(f, 2);
 	char value[64];
 	int i;
 
@@ -146,7 +146,7 @@
 static void test_reads_own_write_across_a_promotion(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 500});
-	PGconn *w = fleet_orders(f, 0), *r;
+	PGconn *w = fleet_connect_orders(f, 0), *r;
 	char value[64];
 	const char *state;
 
@@ -168,7 +168,7 @@
 static void test_lost_write_is_told(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.confirm = "primary"});
-	PGconn *w = fleet_orders(f, 0), *r;
+	PGconn *w = fleet_connect_orders(f, 0), *r;
 	char value[64], token[256];
 	const char *state;
 	int primary = fleet_primary(f), i;
@@ -194,7 +194,7 @@
 static void test_transactions(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
-	PGconn *a = fleet_orders(f, 0), *b = fleet_orders(f, 1);
+	PGconn *a = fleet_connect_orders(f, 0), *b = fleet_connect_orders(f, 1);
 	char value[64];
 
 	CHECK(strcmp(sql(a, NULL, 0, "BEGIN"), "00000") == 0, "BEGIN");
@@ -249,7 +249,7 @@
 static void test_transactions_end_with_their_caller_or_vm(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.connections = 5});
-	PGconn *c = fleet_orders(f, 1);
+	PGconn *c = fleet_connect_orders(f, 1);
 	char value[64];
 	int primary = fleet_primary(f);
 	int other = primary == 1 ? 2 : 1;
@@ -259,14 +259,14 @@
 	PQfinish(c);
 	CHECK(wait_until(no_transactions, f, NULL, 5000),
 	      "the vanished caller's transaction is open");
-	c = fleet_orders(f, other);
+	c = fleet_connect_orders(f, other);
 	sql(c, NULL, 0, "BEGIN");
 	sql(c, NULL, 0, "INSERT INTO orders VALUES ('died', 'x')");
 	fleet_vm_signal(f, other, SIGKILL);
 	CHECK(strcmp(sql(c, NULL, 0, "COMMIT"), "00000") != 0, "commit through a dead VM");
 	PQfinish(c);
 	CHECK(wait_until(no_transactions, f, NULL, 5000), "the dead VM's transaction is open");
-	c = fleet_orders(f, 0);
+	c = fleet_connect_orders(f, 0);
 	sql(c, NULL, 0, "BEGIN");
 	sql(c, value, sizeof(value), "SELECT value FROM orders WHERE key = 'vanished'");
 	CHECK(strcmp(value, "none") == 0, "%s", value);
@@ -284,12 +284,12 @@
 static void test_last_connection(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.connections = 6});
-	PGconn *tx[2], *c = fleet_orders(f, 0), *late;
+	PGconn *tx[2], *c = fleet_connect_orders(f, 0), *late;
 	const char *state;
 	int i;
 
 	for (i = 0; i < 2; i++) {
-		tx[i] = fleet_orders(f, i);
+		tx[i] = fleet_connect_orders(f, i);
 		state = sql(tx[i], NULL, 0, "BEGIN");
 		CHECK(strcmp(state, "00000") == 0, "%s", state);
 		sql(tx[i], NULL, 0, "INSERT INTO orders VALUES ('tx', '%d')", i);
--- a/tests/test-it-soak.c
+++ b/tests/test-it-soak.c
@@ -79,22 +79,22 @@
 
 static void member_mute(struct soak *s, int i, bool on)
 {
-	line_route(s->f, "%s m%d", on ? "mute" : "pass", i);
+	line_proxy_command(s->f, "%s m%d", on ? "mute" : "pass", i);
 }
 
 static void member_deaf(struct soak *s, int i, bool on)
 {
-	line_route(s->f, "%s m%d", on ? "deaf" : "pass", i);
+	line_proxy_command(s->f, "%s m%d", on ? "deaf" : "pass", i);
 }
 
 static void member_reset(struct soak *s, int i, bool on)
 {
-	line_route(s->f, "reset m%d", i);
+	line_proxy_command(s->f, "reset m%d", i);
 }
 
 static void member_slow(struct soak *s, int i, bool on)
 {
-	line_route(s->f, "delay m%d %d", i, on ? 60 : 0);
+	line_proxy_command(s->f, "delay m%d %d", i, on ? 60 : 0);
 }
 
 /* VMs */
@@ -124,17 +124,17 @@
 
 static void vm_held(struct soak *s, int i, bool on)
 {
-	line_route(s->f, "%s vm%d", on ? "hold" : "pass", i);
+	line_proxy_command(s->f, "%s vm%d", on ? "hold" : "pass", i);
 }
 
 static void vm_mute(struct soak *s, int i, bool on)
 {
-	line_route(s->f, "%s vm%d", on ? "mute" : "pass", i);
+	line_proxy_command(s->f, "%s vm%d", on ? "mute" : "pass", i);
 }
 
 static void vm_slow(struct soak *s, int i, bool on)
 {
-	line_route(s->f, "delay vm%d %d", i, on ? 40 : 0);
+	line_proxy_command(s->f, "delay vm%d %d", i, on ? 40 : 0);
 }
 
 /* The store */
@@ -146,18 +146,18 @@
 
 static void store_silent(struct soak *s, int i, bool on)
 {
-	line_route(s->f, "%s store", on ? "hold" : "pass");
+	line_proxy_command(s->f, "%s store", on ? "hold" : "pass");
 }
 
 static void store_deaf(struct soak *s, int i, bool on)
 {
-	line_route(s->f, "%s store", on ? "deaf" : "pass");
+	line_proxy_command(s->f, "%s store", on ? "deaf" : "pass");
 }
 
 static void store_compacts(struct soak *s, int i, bool on)
 {
 	line_fault(s->f, "{\"compact\":1}");
-	line_route(s->f, "reset store");
+	line_proxy_command(s->f, "reset store");
 }
 
 static void store_loses_writes(struct soak *s, int i, bool on)
@@ -218,7 +218,7 @@
 		return;
 	}
 	line_fault(s->f, "{\"restore\":%d}", g_rand_int_range(s->rand_restores, 0, REWRITE_MAX_MS));
-	line_route(s->f, "reset store");
+	line_proxy_command(s->f, "reset store");
 }
 
 static const struct fault restore_faults[] = {
@@ -325,11 +325,12 @@
 
 	printf("seed %u\n", seed);
 	for (i = 0; i < VMS; i++)
-		line_writer_start_reading(&w[i], s.f, i);
+		line_writer_start_read_back(&w[i], s.f, i);
 	play(&s, seconds);
 	for (i = 0; i < VMS; i++) {
 		CHECK(waitpid(s.f->vm[i].pid, &status, WNOHANG) == 0, "vm%d ended by itself", i);
-		CHECK(line_write_until(s.f, i, RECOVERY_MS), "vm%d does not serve again", i);
+		CHECK(line_wait_until_writable(s.f, i, RECOVERY_MS), "vm%d does not serve again",
+		      i);
 	}
 	for (i = 0; i < VMS; i++) {
 		int64_t until = test_now_ms() + RECOVERY_MS;
