--- a/tests/test-it-caller.c
+++ b/tests/test-it-caller.c
@@ -1,6 +1,7 @@
 /**
- * @file test-it-caller.c What callers meet: psql, libpq's two protocols, slow and broken callers,
- * refusals.
+ * @file test-it-caller.c
+ * The PostgreSQL protocol as callers use it: psql, the simple and the extended query protocol, TLS,
+ * slow and malformed clients, and refused statements.
  */
 #include "harness.h"
 
@@ -15,7 +16,8 @@
 
 static struct test_fleet *fleet;
 
-static struct test_fleet *shared(void)
+/** Returns the fleet that the cases share; the first call starts it. */
+static struct test_fleet *get_shared_fleet(void)
 {
 	if (fleet == NULL)
 		fleet = fleet_start_up(
@@ -26,7 +28,7 @@
 
 static void test_extended_protocol(void)
 {
-	PGconn *c = fleet_connect_orders(shared(), 0);
+	PGconn *c = fleet_connect_orders(get_shared_fleet(), 0);
 	const char *values[] = {"ext", "it is"};
 	PGresult *r;
 
@@ -56,12 +58,13 @@
 	r = PQexecParams(c, "SET mangoloom.kind = 'page'", 0, NULL, NULL, NULL, NULL, 0);
 	CHECK(PQresultStatus(r) == PGRES_COMMAND_OK, "%s", PQresultErrorMessage(r));
 	PQclear(r);
-	/* An error in the extended protocol is told once, and the session goes on after Sync. */
+	/* In the extended protocol an error is reported once; the session is usable after Sync. */
 	r = PQexecPrepared(c, "unknown", 0, NULL, NULL, NULL, 0);
 	CHECK(strcmp(PQresultErrorField(r, PG_DIAG_SQLSTATE), "26000") == 0, "%s",
 	      PQresultErrorMessage(r));
 	PQclear(r);
-	CHECK(strcmp(sql(c, NULL, 0, "SELECT 1"), "00000") == 0, "after an error");
+	CHECK(strcmp(sql(c, NULL, 0, "SELECT 1"), "00000") == 0,
+	      "the session is not usable after an error");
 	PQfinish(c);
 }
 
@@ -79,7 +82,7 @@
 		{"SELECT 1; BEGIN; SELECT 2", "0A000"},
 		{"SET mangoloom.once = 'a''b'", "22023"},
 	};
-	PGconn *c = fleet_connect_orders(shared(), 0);
+	PGconn *c = fleet_connect_orders(get_shared_fleet(), 0);
 	unsigned i;
 
 	for (i = 0; i < G_N_ELEMENTS(refused); i++) {
@@ -90,13 +93,13 @@
 	CHECK(strcmp(sql(c, NULL, 0, "SET mangoloom.kind = 'unheard'"), "00000") == 0, "kind");
 	CHECK(strcmp(sql(c, NULL, 0, "SELECT 1"), "42501") == 0 &&
 		      strcmp(sql_detail(), "not run") == 0,
-	      "no route");
+	      "a kind without a route is not refused");
 	PQfinish(c);
 }
 
 static void test_wrong_keys(void)
 {
-	struct test_fleet *f = shared();
+	struct test_fleet *f = get_shared_fleet();
 	static const char *const keys[] = {"", "mlk_", "mlk_000000000000_00",
 					   "a'; DROP TABLE keys"};
 	PGconn *c;
@@ -107,7 +110,7 @@
 		CHECK(PQstatus(c) != CONNECTION_OK, "accepted: %s", keys[i]);
 		PQfinish(c);
 	}
-	/* A key of one team does not open another's sessions. */
+	/* A key is valid only for the team that it was issued to. */
 	c = fleet_connect(f, 0, "others", f->key, "");
 	CHECK(PQstatus(c) != CONNECTION_OK, "another team's key is accepted");
 	PQfinish(c);
@@ -120,12 +123,12 @@
 
 	sin.sin_port = htons((uint16_t)f->vm[0].caller);
 	if (connect(fd, (struct sockaddr *)&sin, sizeof(sin)) != 0)
-		printf("cannot connect\n");
+		printf("cannot connect to the caller port of VM 0\n");
 	return fd;
 }
 
-/** Read until the end. @return milliseconds until it came, or -1 after 5 s */
-static int64_t read_end(int fd)
+/** Reads until EOF and closes @a fd. @return milliseconds until EOF, or -1 after 5 s or an error */
+static int64_t read_until_eof(int fd)
 {
 	struct timeval tv = {.tv_sec = 5};
 	int64_t start = test_now_ms();
@@ -140,23 +143,24 @@
 }
 
 /*
- * Callers that say nothing, send half a message, or bytes of no protocol are let go after the time
- * that is set.
+ * Guards against clients that occupy a connection for ever: one that sends nothing, part of a
+ * message, or bytes of another protocol is disconnected after message_ms. Random bytes must not
+ * make the daemon fail.
  */
 static void test_slow_and_broken_callers(void)
 {
-	struct test_fleet *f = shared();
+	struct test_fleet *f = get_shared_fleet();
 	uint8_t noise[2000];
 	int fd, i;
 
 	fd = raw_connect(f);
-	CHECK(read_end(fd) >= 0, "a caller that says nothing");
+	CHECK(read_until_eof(fd) >= 0, "a client that sends nothing is not disconnected");
 	fd = raw_connect(f);
 	CHECK(write(fd, "\0\0\0\x20\0\3", 6) == 6, "write");
-	CHECK(read_end(fd) >= 0, "a caller that sends half a message");
+	CHECK(read_until_eof(fd) >= 0, "a client that sends part of a message is not disconnected");
 	fd = raw_connect(f);
 	CHECK(write(fd, "GET / HTTP/1.0\r\n\r\n", 18) == 18, "write");
-	CHECK(read_end(fd) >= 0, "a caller of another protocol");
+	CHECK(read_until_eof(fd) >= 0, "a client of another protocol is not disconnected");
 	srand(3);
 	for (i = 0; i < 60; i++) {
 		size_t len = 1 + (size_t)rand() % sizeof(noise), j;
@@ -167,15 +171,15 @@
 			memcpy(noise, "\0\0\0\x09\0\3\0\0\0", 9);
 		fd = raw_connect(f);
 		if (write(fd, noise, len) < 0)
-			printf("closed early\n");
+			printf("the daemon closed the connection before all bytes were sent\n");
 		close(fd);
 	}
-	CHECK(fleet_status(f, 0, "requests") >= 0, "the daemon does not answer after noise");
+	CHECK(fleet_status(f, 0, "requests") >= 0, "the daemon does not answer after random bytes");
 }
 
 static void test_idle_and_too_many_callers(void)
 {
-	struct test_fleet *f = shared();
+	struct test_fleet *f = get_shared_fleet();
 	PGconn *c[45];
 	int i, refused = 0;
 
@@ -186,8 +190,9 @@
 	CHECK(refused >= 5 && refused < 12, "%d of 45 refused", refused);
 	test_sleep_ms(1800);
 	/*
-	 * All were ended for being idle, and their last words wait to be read. A new caller was
-	 * refused then as one too many, though none of them is served any more.
+	 * All sessions were closed after idle_ms, but the clients have not read the error messages
+	 * yet. Guards against counting such closing sessions towards the connection limit, which
+	 * refused new callers.
 	 */
 	PGconn *next = fleet_connect_orders(f, 0);
 	CHECK(PQstatus(next) == CONNECTION_OK, "%s", PQerrorMessage(next));
@@ -195,14 +200,14 @@
 	for (i = 0; i < 45; i++) {
 		if (i == 0)
 			CHECK(strcmp(sql(c[0], NULL, 0, "SELECT 1"), "57P05") == 0,
-			      "an idle caller");
+			      "an idle session is not closed with 57P05");
 		PQfinish(c[i]);
 	}
 }
 
 static void test_message_over_the_limit(void)
 {
-	PGconn *c = fleet_connect_orders(shared(), 0);
+	PGconn *c = fleet_connect_orders(get_shared_fleet(), 0);
 	char *big = g_strnfill(100000, 'x');
 	const char *state = sql(c, NULL, 0, "SELECT '%s'", big);
 
@@ -213,7 +218,7 @@
 
 static void test_psql(void)
 {
-	struct test_fleet *f = shared();
+	struct test_fleet *f = get_shared_fleet();
 	char *line = g_strdup_printf(
 		"PGOPTIONS='-c mangoloom.kind=order' PGPASSWORD=%s psql -X -q -t -A -h 127.0.0.1 "
 		"-p %d "
@@ -223,16 +228,16 @@
 	char text[256] = "";
 	FILE *p = popen(line, "r");
 
-	CHECK(p != NULL && fgets(text, sizeof(text), p) != NULL, "psql said nothing");
+	CHECK(p != NULL && fgets(text, sizeof(text), p) != NULL, "psql printed no output");
 	CHECK(strcmp(text, "works\n") == 0, "%s", text);
 	CHECK(pclose(p) == 0, "psql failed");
 	g_free(line);
 }
 
-/* The log tells each decision, and neither a key nor a statement's values. */
+/* The log contains the routing decision and the answer, but no key and no value of a statement. */
 static void test_log_has_no_secrets(void)
 {
-	struct test_fleet *f = shared();
+	struct test_fleet *f = get_shared_fleet();
 	PGconn *c = fleet_connect_orders(f, 0);
 	char *path = g_strdup_printf("%s/%s.log", f->dir, f->vm[0].name), *text = NULL;
 
@@ -241,14 +246,17 @@
 	test_sleep_ms(300);
 	CHECK(g_file_get_contents(path, &text, NULL, NULL), "no log");
 	CHECK(strstr(text, "event=route") != NULL && strstr(text, "event=answer") != NULL,
-	      "no decisions in the log");
+	      "the log lacks route or answer events");
 	CHECK(strstr(text, "secret-") == NULL, "a value is in the log");
 	CHECK(strstr(text, strrchr(f->key, '_') + 1) == NULL, "a key is in the log");
 	g_free(text);
 	g_free(path);
 }
 
-/** Connect with TLS, or without it, to the first VM. */
+/**
+ * Connects to VM 0 with @a sslmode and, if that succeeds, writes and reads one row.
+ * @param value receives the value read. @return the status of the connection
+ */
 static ConnStatusType tls_connect(struct test_fleet *f, const char *sslmode, char *value,
 				  size_t size)
 {
@@ -272,51 +280,53 @@
 }
 
 /*
- * A VM that requires TLS serves a caller that speaks it, and refuses one that would send its key in
- * clear.
+ * A VM that requires TLS serves clients that use it, and refuses clients that would send their key
+ * unencrypted.
  */
 static void test_tls(void)
 {
 	char *dir = g_dir_make_tmp("mangoloom-tls-XXXXXX", NULL);
-	char *make = g_strdup_printf(
+	char *make_certificate_command = g_strdup_printf(
 		"openssl req -x509 -newkey rsa:2048 -nodes -subj /CN=vm -days 2 -keyout %s/key "
 		"-out %s/certificate >/dev/null 2>&1",
 		dir, dir);
 	char *settings = g_strdup_printf(
 		"[tls]\ncertificate = \"%s/certificate\"\nkey = \"%s/key\"\n", dir, dir);
-	char *clean = g_strdup_printf("rm -rf %s", dir), value[64] = "", *big;
+	char *remove_dir_command = g_strdup_printf("rm -rf %s", dir), value[64] = "",
+	     *required_settings;
 	struct test_fleet *f;
 	PGconn *c;
 
-	CU_ASSERT_EQUAL_FATAL(system(make), 0);
+	CU_ASSERT_EQUAL_FATAL(system(make_certificate_command), 0);
 	f = fleet_start_up(&(struct fleet_plan){.settings = settings});
 	CHECK(tls_connect(f, "require", value, sizeof(value)) == CONNECTION_OK, "TLS");
 	CHECK(strcmp(value, "sealed") == 0, "read %s", value);
 	CHECK(tls_connect(f, "disable", value, sizeof(value)) == CONNECTION_OK,
-	      "TLS is offered, not required");
-	big = g_strdup_printf("%srequired = true\n", settings);
-	f->plan.settings = big;
+	      "connection without TLS refused although TLS is optional");
+	required_settings = g_strdup_printf("%srequired = true\n", settings);
+	f->plan.settings = required_settings;
 	fleet_vm_signal(f, 0, SIGKILL);
 	fleet_vm_start(f, 0);
 	test_sleep_ms(1500);
-	CHECK(tls_connect(f, "require", value, sizeof(value)) == CONNECTION_OK, "TLS, required");
+	CHECK(tls_connect(f, "require", value, sizeof(value)) == CONNECTION_OK,
+	      "TLS connection refused while TLS is required");
 	CHECK(tls_connect(f, "disable", value, sizeof(value)) != CONNECTION_OK,
-	      "a key in clear is accepted");
+	      "connection without TLS accepted while TLS is required");
 	c = fleet_connect_orders(f, 1);
-	CHECK(PQstatus(c) == CONNECTION_OK, "another VM");
+	CHECK(PQstatus(c) == CONNECTION_OK, "VM 1, where TLS is optional, refuses connections");
 	PQfinish(c);
 	fleet_tear_down(f);
-	CHECK(system(clean) == 0, "clean");
-	g_free(big);
-	g_free(clean);
+	CHECK(system(remove_dir_command) == 0, "clean");
+	g_free(required_settings);
+	g_free(remove_dir_command);
 	g_free(settings);
-	g_free(make);
+	g_free(make_certificate_command);
 	g_free(dir);
 }
 
 static void test_end(void)
 {
-	fleet_tear_down(shared());
+	fleet_tear_down(get_shared_fleet());
 	fleet = NULL;
 }
 
--- a/tests/test-it-explain.c
+++ b/tests/test-it-explain.c
@@ -1,7 +1,7 @@
 /**
- * @file test-it-explain.c From a failed request's id to its cause, by logs alone, as
- * docs/OPERATIONS.md tells: three kinds of failures, played, and explained with `mangoloom
- * explain`.
+ * @file test-it-explain.c
+ * Finds the cause of a failed request from its id and the VMs' logs alone, with `mangoloom explain`
+ * as in docs/OPERATIONS.md, for three kinds of failure.
  */
 #include "harness-line.h"
 
@@ -11,8 +11,11 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/** What `mangoloom explain` prints of @a id, to g_free(). */
-static char *explain(struct line_fleet *f, const char *id)
+/**
+ * Runs `mangoloom explain` for the request @a id on the logs of all VMs.
+ * @return what it printed, to g_free()
+ */
+static char *run_explain(struct line_fleet *f, const char *id)
 {
 	GPtrArray *argv = g_ptr_array_new_with_free_func(g_free);
 	char *path = g_strdup_printf("%s/explain.err", f->dir);
@@ -27,7 +30,7 @@
 	for (i = 0; i < f->n_vms; i++)
 		g_ptr_array_add(argv, g_strdup_printf("%s/vm%d.err", f->dir, i));
 	g_ptr_array_add(argv, NULL);
-	/* Lines are written ten times a second. */
+	/* The daemons flush their logs ten times a second. */
 	test_sleep_ms(400);
 	pid = test_spawn(f->dir, "explain", (char **)argv->pdata, -1, -1);
 	waitpid(pid, NULL, 0);
@@ -37,10 +40,13 @@
 	return text != NULL ? text : g_strdup("");
 }
 
-#define TELLS(text, what) CHECK(strstr((text), (what)) != NULL, "no \"%s\" in:\n%s", (what), (text))
+#define CHECK_CONTAINS(text, what)                                                                 \
+	CHECK(strstr((text), (what)) != NULL, "no \"%s\" in:\n%s", (what), (text))
 
-/* A request finds no token: the line tells the VM's part, what it holds, and what the team asks
- * for. */
+/*
+ * A request is refused because the team's token bucket is empty. The log has to show the team's
+ * rate over all VMs, this VM's part of it, and the outcome.
+ */
 static void test_refused_for_its_rate(void)
 {
 	struct line_fleet *f = line_fleet_start(2);
@@ -65,20 +71,24 @@
 		}
 		line_close(&many[i]);
 	}
-	CHECK(strstr(c.text, "retry-after-ms=") != NULL, "when to come back: %s", c.text);
-	text = explain(f, id);
-	TELLS(text, "event=no-token");
-	TELLS(text, "whole_rate_milli=2000");
-	TELLS(text, "event=team-rate team=clerks rate_milli=2000");
-	TELLS(text, "event=rates state=\"in force\"");
-	TELLS(text, "outcome=over-rate");
-	CHECK(strstr(text, LINE_KEY) == NULL, "no key is told");
+	CHECK(strstr(c.text, "retry-after-ms=") != NULL, "the refusal has no retry-after-ms: %s",
+	      c.text);
+	text = run_explain(f, id);
+	CHECK_CONTAINS(text, "event=no-token");
+	CHECK_CONTAINS(text, "whole_rate_milli=2000");
+	CHECK_CONTAINS(text, "event=team-rate team=clerks rate_milli=2000");
+	CHECK_CONTAINS(text, "event=rates state=\"in force\"");
+	CHECK_CONTAINS(text, "outcome=over-rate");
+	CHECK(strstr(text, LINE_KEY) == NULL, "a key is in the log");
 	g_free(text);
 	line_close(&c);
 	line_fleet_stop(f);
 }
 
-/* A write whose primary falls silent: the caller is told that nobody knows, and the story why. */
+/*
+ * The primary stops answering while a write is under way. The caller gets INDOUBT, and the log has
+ * to show the lost statement and the change of primary with its reason.
+ */
 static void test_unknown_in_a_change_of_primary(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
@@ -92,21 +102,21 @@
 	line_fault(f, "{\"member\":\"%s\",\"mode\":\"dark\"}", primary);
 	line_query(&c, "WRITE u1 y");
 	CHECK(strcmp(c.code, "INDOUBT") == 0, "%s %s", c.code, c.text);
-	text = explain(f, c.id);
-	TELLS(text, "event=statement-lost");
-	TELLS(text, "harmless=0");
-	TELLS(text, "event=change-of-primary");
-	TELLS(text, "why=silent");
-	TELLS(text, "outcome=lost");
+	text = run_explain(f, c.id);
+	CHECK_CONTAINS(text, "event=statement-lost");
+	CHECK_CONTAINS(text, "harmless=0");
+	CHECK_CONTAINS(text, "event=change-of-primary");
+	CHECK_CONTAINS(text, "why=silent");
+	CHECK_CONTAINS(text, "outcome=lost");
 	g_free(text);
 	line_close(&c);
 	line_fleet_stop(f);
 }
 
 /*
- * * A read that may be one second old, with replicas a minute behind, a primary that is gone and no
- * other to be had: it is turned away, and the story tells the position that was needed and what the
- * replicas had.
+ * A read with a staleness limit of one second is refused: the replicas lag by a minute, the primary
+ * does not answer, and promotions are refused. The log has to show the log position that the read
+ * needed and how far the replicas had come.
  */
 static void test_no_replica_is_fresh_enough(void)
 {
@@ -134,11 +144,11 @@
 		line_close(&c);
 	} while (test_now_ms() < until);
 	CHECK(strcmp(c.code, "LAGGING") == 0 || strcmp(c.code, "BUSY") == 0, "%s", c.code);
-	text = explain(f, c.id);
+	text = run_explain(f, c.id);
 	CHECK(strstr(text, "event=behind") != NULL || strstr(text, "event=no-replica-fits") != NULL,
 	      "%s", text);
-	TELLS(text, "mark_age_us=");
-	TELLS(text, "event=primary pool=svc");
+	CHECK_CONTAINS(text, "mark_age_us=");
+	CHECK_CONTAINS(text, "event=primary pool=svc");
 	g_free(text);
 	line_close(&c);
 	line_close(&w);
--- a/tests/test-it-failover.c
+++ b/tests/test-it-failover.c
@@ -1,4 +1,9 @@
-/** @file test-it-failover.c Changes of primary under load: real processes behind faultproxy. */
+/**
+ * @file test-it-failover.c
+ * Failover under load, with real processes behind faultproxy. Writers record how each statement
+ * ended; at the end this is compared with the log of the new primary: an acknowledged order is
+ * there exactly once, and an order reported as not run is not there.
+ */
 #include "harness.h"
 
 #include <signal.h>
@@ -7,7 +12,12 @@
 #include <string.h>
 
 #define WRITERS 3
+/** Upper bound of the time between two acknowledged writes of one writer. */
+#define WRITE_GAP_MAX_US 14000000
+/** Time limit for the promotion of another member. */
+#define PROMOTION_TIMEOUT_MS 14000
 
+/** Starts one writer at each VM and lets them write for half a second. */
 static void start_writers(struct writer *w, struct test_fleet *f)
 {
 	int i;
@@ -23,7 +33,10 @@
 	test_sleep_ms(500);
 }
 
-/** Let the writers go on for a while, stop them, and tell of the longest gap. */
+/**
+ * Stops the writers after @a ms, prints the totals under the heading @a what, and checks the
+ * longest gap and the outcome of each write.
+ */
 static void stop_writers(struct writer *w, struct test_fleet *f, int ms, const char *what)
 {
 	int64_t gap = 0;
@@ -40,11 +53,12 @@
 	printf("%s: %d acknowledged, %d not run, %d unknown, longest gap %ld ms\n", what, acked,
 	       not_run, unknown, (long)(gap / 1000));
 	CHECK(acked > 50, "%d", acked);
-	CHECK(gap < 14000000, "%ld us", (long)gap);
+	CHECK(gap < WRITE_GAP_MAX_US, "%ld us", (long)gap);
 	writers_verify(f, w, WRITERS);
 }
 
-static bool primary_moved(struct test_fleet *f, void *arg)
+/** Returns whether there is a primary other than the member with the index *@a arg. */
+static bool primary_changed(struct test_fleet *f, void *arg)
 {
 	int now = fleet_primary(f);
 
@@ -52,8 +66,8 @@
 }
 
 /*
- * Clerks write orders; the primary's process is killed. Their statements wait a moment and go on at
- * the new primary. What was acknowledged is there, once; nothing that was told as not run is there.
+ * The primary's process is killed under load. Guards against acknowledged writes that are lost or
+ * run twice, and against statements that do not continue at the new primary.
  */
 static void test_primary_killed(void)
 {
@@ -63,12 +77,15 @@
 
 	start_writers(w, f);
 	fleet_member_signal(f, primary, SIGKILL);
-	CHECK(wait_until(primary_moved, f, &primary, 14000), "no new primary");
+	CHECK(wait_until(primary_changed, f, &primary, PROMOTION_TIMEOUT_MS), "no new primary");
 	stop_writers(w, f, 1000, "primary killed");
 	fleet_tear_down(f);
 }
 
-/* The same with the platform down the whole time: a change of primary needs nothing of it. */
+/*
+ * The primary is killed while the platform's API is down. Guards against a failover that depends on
+ * the platform.
+ */
 static void test_primary_killed_without_platform(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
@@ -78,14 +95,15 @@
 	fleet_platform_fault(f, "{\"down\":true}");
 	start_writers(w, f);
 	fleet_member_signal(f, primary, SIGKILL);
-	CHECK(wait_until(primary_moved, f, &primary, 14000), "no new primary");
+	CHECK(wait_until(primary_changed, f, &primary, PROMOTION_TIMEOUT_MS), "no new primary");
 	stop_writers(w, f, 1000, "primary killed, platform down");
 	fleet_tear_down(f);
 }
 
 /*
- * The primary freezes with statements inside, is replaced, and wakes with their commits in its
- * socket. Acknowledging one of those would lose an order, since the new primary does not have it.
+ * The primary is stopped with SIGSTOP while statements run, is replaced, and continues with commits
+ * still unread in its sockets. Guards against acknowledging such a commit: the new primary does not
+ * have it, so the order would be lost.
  */
 static void test_primary_paused_across_promotion(void)
 {
@@ -96,7 +114,7 @@
 	start_writers(w, f);
 	fleet_member_signal(f, primary, SIGSTOP);
 	f->member[old].pid = -f->member[old].pid;
-	CHECK(wait_until(primary_moved, f, &primary, 14000), "no new primary");
+	CHECK(wait_until(primary_changed, f, &primary, PROMOTION_TIMEOUT_MS), "no new primary");
 	f->member[old].pid = -f->member[old].pid;
 	test_sleep_ms(300);
 	fleet_member_signal(f, old, SIGCONT);
@@ -105,9 +123,9 @@
 }
 
 /*
- * The daemon that is home to the primary is stopped while the primary is killed and replaced, and
- * wakes afterwards with answers in its sockets and an old view. It must not acknowledge for the
- * replaced primary.
+ * The primary's home, the daemon that holds its connections, is paused while the primary is killed
+ * and replaced. It continues with unread answers in its sockets and outdated state. Guards against
+ * acknowledging writes of the replaced primary.
  */
 static void test_home_paused_across_promotion(void)
 {
@@ -119,16 +137,17 @@
 	fleet_vm_signal(f, primary, SIGSTOP);
 	test_sleep_ms(100);
 	fleet_member_signal(f, primary, SIGKILL);
-	CHECK(wait_until(primary_moved, f, &primary, 14000), "no new primary");
+	CHECK(wait_until(primary_changed, f, &primary, PROMOTION_TIMEOUT_MS), "no new primary");
 	fleet_vm_signal(f, 0, SIGCONT);
 	stop_writers(w, f, 1500, "home paused across a promotion");
 	fleet_tear_down(f);
 }
 
 /*
- * The primary's data centre is cut off with its home and a clerk inside. The other side promotes
- * and goes on; inside, no write is acknowledged any more, and after the cut heals the former
- * primary follows the new one.
+ * A network partition isolates the primary's data centre, with the primary's home and one writer in
+ * it. The other side promotes a member. Guards against writes that are acknowledged there after
+ * the promotion, and against a previous primary that does not follow the new one after the
+ * partition.
  */
 static void test_primary_cut_off_with_its_home(void)
 {
@@ -139,7 +158,7 @@
 
 	start_writers(w, f);
 	fleet_partition(f, "dc1", true);
-	CHECK(wait_until(primary_moved, f, &primary, 14000), "no new primary");
+	CHECK(wait_until(primary_changed, f, &primary, PROMOTION_TIMEOUT_MS), "no new primary");
 	inside_acked = w[0].acked;
 	test_sleep_ms(1500);
 	CHECK(w[0].acked == inside_acked, "%d acknowledged by a replaced primary",
@@ -150,8 +169,8 @@
 }
 
 /*
- * Each of the members is killed in turn but the last: with one left of three, nothing is
- * acknowledged, and it is said.
+ * Both replicas are killed, so the primary has no majority. Guards against writes that are
+ * acknowledged without a majority; the caller gets 57P03 with the detail "not run".
  */
 static void test_no_majority_no_acknowledgement(void)
 {
--- a/tests/test-it-fleet.c
+++ b/tests/test-it-fleet.c
@@ -1,5 +1,7 @@
 /**
- * @file test-it-fleet.c Many daemons as one: keys, tables, planned stops, cut data centres.
+ * @file test-it-fleet.c
+ * What several daemons do together: keys, configuration changes, planned stops, and data centres
+ * isolated by a network partition.
  */
 #include "harness.h"
 
@@ -8,6 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/** Returns whether the VM with the index *@a arg serves a read within 500 ms. */
 static bool reads_served(struct test_fleet *f, void *arg)
 {
 	PGconn *c = fleet_connect(f, *(int *)arg, "clerks", f->key,
@@ -19,8 +22,8 @@
 }
 
 /*
- * A withdrawn key stops on sessions that are connected, idle or not, and at new ones; the team's
- * other key goes on.
+ * Guards against a withdrawn key that still works, on open sessions or for new ones, and against a
+ * withdrawal that also ends the team's other key.
  */
 static void test_withdrawn_key(void)
 {
@@ -55,7 +58,10 @@
 	fresh = fleet_connect_orders(f, 1);
 	CHECK(PQstatus(fresh) == CONNECTION_OK, "the other key is refused");
 	PQfinish(fresh);
-	/* A VM that can't be told is named, and hears of it as soon as it can. */
+	/*
+	 * The command names a VM that it could not notify. That VM gets the withdrawal as soon as
+	 * it runs again.
+	 */
 	g_free(id);
 	id = fleet_create_key(f, "clerks");
 	end = strchr(id + strlen("mlk_"), '_');
@@ -73,7 +79,7 @@
 	fleet_vm_signal(f, 2, SIGCONT);
 	test_sleep_ms(1500);
 	CHECK(strcmp(sql(idle[0], NULL, 0, "SELECT 1"), "28P01") == 0,
-	      "the key holds after the pause");
+	      "a withdrawn key is accepted after the pause");
 	PQfinish(idle[0]);
 	code = fleet_cli(f, &out, "key list");
 	CHECK(code == 0 && strstr(out, "withdrawn") != NULL, "%s", out);
@@ -84,8 +90,9 @@
 }
 
 /*
- * With trust_without_news_ms, a data centre that is cut off from the platform and the others stops
- * accepting keys, since it could not hear of a withdrawal; after the cut heals it serves again.
+ * With trust_without_news_ms set, a data centre that is isolated from the platform and the other
+ * data centres stops accepting keys, because a withdrawal could not reach it. It accepts keys again
+ * after the partition.
  */
 static void test_cut_off_keys_are_not_trusted_for_ever(void)
 {
@@ -96,21 +103,27 @@
 	int vm = 2;
 
 	CHECK(strcmp(sql(c, NULL, 0, "INSERT INTO orders VALUES ('before', 'x')"), "00000") == 0,
-	      "before the cut");
+	      "not served before the partition");
 	fleet_partition(f, "dc3", true);
 	fleet_platform_fault(f, "{\"down\":true}");
-	/* Two VMs are in there and hear each other: they must not assure each other for ever. */
+	/*
+	 * The isolated data centre has two VMs in contact with each other. Guards against each
+	 * counting the other's message as proof that its list of keys is current.
+	 */
 	test_sleep_ms(7500);
 	state = sql(c, NULL, 0, "SELECT 1");
 	CHECK(strcmp(state, "28P01") == 0, "%s", state);
 	PQfinish(c);
 	fleet_partition(f, "dc3", false);
 	fleet_platform_fault(f, "{\"down\":false}");
-	CHECK(wait_until(reads_served, f, &vm, 8000), "not served after the cut");
+	CHECK(wait_until(reads_served, f, &vm, 8000), "not served after the partition");
 	fleet_tear_down(f);
 }
 
-/* The command line, as a script uses it: exit codes, and that a wrong table changes nothing. */
+/*
+ * Scripts rely on the exit codes of the command line. Guards against wrong exit codes, and against
+ * an invalid table that changes the configuration.
+ */
 static void test_command_line(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
@@ -129,21 +142,24 @@
 	g_free(out);
 	g_free(path);
 	path = fleet_file(f, "wrong.toml", "[[route]]\nname = \"x\"\npool = \"missing\"\n");
-	CHECK(fleet_cli(f, NULL, "apply --routes %s", path) == 3, "a route without its pool");
+	CHECK(fleet_cli(f, NULL, "apply --routes %s", path) == 3,
+	      "a route whose pool does not exist is applied");
 	g_free(path);
 	path = fleet_file(f, "wrong.toml", "[[route]]\nname = 7\n");
-	CHECK(fleet_cli(f, NULL, "check --routes %s", path) == 3, "a name that is no text");
-	CHECK(fleet_cli(f, NULL, "apply --routes %s", path) == 3, "a name that is no text");
+	CHECK(fleet_cli(f, NULL, "check --routes %s", path) == 3,
+	      "a number as a name passes the check");
+	CHECK(fleet_cli(f, NULL, "apply --routes %s", path) == 3, "a number as a name is applied");
 	g_free(path);
-	CHECK(fleet_cli(f, NULL, "frobnicate") == 2, "an unknown command");
-	CHECK(fleet_cli(f, NULL, "key withdraw 000000") == 1, "an unknown key");
-	CHECK(fleet_status(f, 0, "conf_version") == version, "something was changed");
+	CHECK(fleet_cli(f, NULL, "frobnicate") == 2, "wrong exit code for an unknown command");
+	CHECK(fleet_cli(f, NULL, "key withdraw 000000") == 1, "wrong exit code for an unknown key");
+	CHECK(fleet_status(f, 0, "conf_version") == version, "the configuration was changed");
 	CHECK(fleet_cli(f, &out, "history") == 0 && strstr(out, "key given to clerks") != NULL,
 	      "%s", out);
 	g_free(out);
 	fleet_platform_fault(f, "{\"down\":true}");
-	CHECK(fleet_cli(f, NULL, "get routes") == 1, "without the platform");
-	CHECK(fleet_cli(f, NULL, "key give clerks") == 1, "without the platform");
+	CHECK(fleet_cli(f, NULL, "get routes") == 1, "wrong exit code of get without the platform");
+	CHECK(fleet_cli(f, NULL, "key give clerks") == 1,
+	      "wrong exit code of key give without the platform");
 	fleet_platform_fault(f, "{\"down\":false}");
 	CHECK(fleet_cli(f, NULL, "stop %s", f->vm[2].name) == 0, "stop");
 	CHECK(fleet_vm_wait(f, 2) == 0, "ended");
@@ -156,14 +172,16 @@
 		"[[team]]\nname = \"clerks\"\nrate = %d\nburst = 100000\n" HARNESS_ROUTES, rate);
 }
 
-struct racer {
+/** One operator in test_operators_race(). */
+struct apply_thread {
 	struct test_fleet *f;
 	int rate, code;
 };
 
-static gpointer race(gpointer data)
+/** Applies routes with its own rate, based on version 2 of the configuration. */
+static gpointer apply_routes_thread(gpointer data)
 {
-	struct racer *r = data;
+	struct apply_thread *r = data;
 	char *text = routes_with_rate(r->rate), name[32], *path;
 	char *based = g_strdup_printf("base_version = 2\n%s", text);
 
@@ -176,6 +194,7 @@
 	return NULL;
 }
 
+/** Returns whether all VMs have the configuration version *@a arg in force. */
 static bool versions_equal(struct test_fleet *f, void *arg)
 {
 	int i;
@@ -188,29 +207,31 @@
 }
 
 /*
- * Four operators apply edits that began from the same version: one wins, the others are told of the
- * conflict and change nothing. Then the answer to an apply is lost after its effect: the command
- * finds its own change and says so.
+ * Four operators apply edits of the same base version at the same time. Guards against more than
+ * one success: the others have to get the exit code for a conflict and change nothing. Then the
+ * platform's answer to an apply is lost after the change was stored; the command has to find its
+ * own change and succeed.
  */
 static void test_operators_race(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
-	struct racer r[4];
+	struct apply_thread r[4];
 	GThread *t[4];
-	int won = 0, conflict = 0, i, code;
+	int succeeded = 0, conflicted = 0, i, code;
 	char *text, *path;
 	int64_t version;
 
 	for (i = 0; i < 4; i++) {
-		r[i] = (struct racer){.f = f, .rate = 1000 + i};
-		t[i] = g_thread_new("race", race, &r[i]);
+		r[i] = (struct apply_thread){.f = f, .rate = 1000 + i};
+		t[i] = g_thread_new("race", apply_routes_thread, &r[i]);
 	}
 	for (i = 0; i < 4; i++) {
 		g_thread_join(t[i]);
-		won += r[i].code == 0;
-		conflict += r[i].code == 4;
+		succeeded += r[i].code == 0;
+		conflicted += r[i].code == 4;
 	}
-	CHECK(won == 1 && conflict == 3, "%d won, %d conflicts", won, conflict);
+	CHECK(succeeded == 1 && conflicted == 3, "%d succeeded, %d conflicts", succeeded,
+	      conflicted);
 	text = routes_with_rate(7777);
 	path = fleet_file(f, "lost.toml", text);
 	version = fleet_status(f, 0, "conf_version");
@@ -227,8 +248,9 @@
 }
 
 /*
- * A daemon sleeps through a change, and the platform is down when it wakes: it gets the change from
- * its peers, and its old version reverts nobody. A VM that starts during the outage serves as well.
+ * A daemon is paused during a configuration change and continues while the platform is down. Guards
+ * against its old version replacing the new one at its peers, and against a daemon that does not
+ * get the change from its peers. A VM that starts during the outage has to serve as well.
  */
 static void test_changes_never_revert(void)
 {
@@ -240,14 +262,14 @@
 
 	fleet_vm_signal(f, 1, SIGSTOP);
 	code = fleet_cli(f, NULL, "apply --routes %s --wait-ms 300", path);
-	CHECK(code == 6, "one VM can't confirm: %d", code);
+	CHECK(code == 6, "not the exit code for a VM that did not confirm: %d", code);
 	fleet_platform_fault(f, "{\"down\":true}");
 	fleet_vm_signal(f, 2, SIGKILL);
 	fleet_vm_signal(f, 1, SIGCONT);
 	fleet_vm_start(f, 2);
 	/*
-	 * The command needs the platform for its list of VMs; ask the daemons by serving through
-	 * them.
+	 * The status command reads the list of VMs from the platform, so it fails now. Statements
+	 * show whether the daemons serve.
 	 */
 	test_sleep_ms(3000);
 	for (i = 0; i < 3; i++) {
@@ -266,8 +288,9 @@
 }
 
 /*
- * The connections on which the platform tells of changes go silent, as connections can; new calls
- * work. A change is in force everywhere within 5 s all the same.
+ * The connections on which the daemons watch the platform deliver no more data but stay open; new
+ * calls work. Guards against daemons that miss changes: a change must be in force at all VMs within
+ * 5 s.
  */
 static void test_silent_watches_are_noticed(void)
 {
@@ -285,6 +308,7 @@
 	fleet_tear_down(f);
 }
 
+/** Returns whether no VM has running statements at the member named @a arg. */
 static bool no_connections(struct test_fleet *f, void *arg)
 {
 	int i;
@@ -305,8 +329,8 @@
 }
 
 /*
- * The operators mark a replica as leaving: within 3 s it gets no new work, and no caller is refused
- * for it.
+ * The operators mark a replica as leaving. Guards against statements that it still gets 3 s later,
+ * and against callers that are refused because of it.
  */
 static void test_leaving_database(void)
 {
@@ -338,7 +362,10 @@
 	fleet_tear_down(f);
 }
 
-/* Guards against reads that go on at members of an evacuated data centre, and that never return. */
+/*
+ * A data centre is evacuated and restored. Guards against reads that are still sent to its member
+ * during the evacuation, and against an evacuation that `mangoloom restore` does not end.
+ */
 static void test_evacuated_data_center(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
@@ -367,8 +394,9 @@
 }
 
 /*
- * One VM after another is stopped with SIGTERM under load. Each hands over and ends by itself; no
- * order is cut, and callers hear nothing but 57P01 between two statements.
+ * One VM after another is stopped with SIGTERM under load. Guards against a planned stop that
+ * interrupts statements: each VM has to hand over and exit with 0, and callers may only get 57P01
+ * between two statements.
  */
 static void test_planned_stop_cuts_nothing(void)
 {
@@ -402,7 +430,8 @@
 		unknown += w[i].unknown;
 		stopped += w[i].stopped;
 	}
-	printf("three planned stops: %d acknowledged, %d told 57P01, %d not run, %d unknown\n",
+	printf("three planned stops: %d acknowledged, %d ended with 57P01, %d not run, %d "
+	       "unknown\n",
 	       acked, stopped, not_run, unknown);
 	CHECK(not_run == 0, "%d not run", not_run);
 	CHECK(unknown == 0, "%d unknown", unknown);
@@ -411,18 +440,19 @@
 }
 
 /*
- * A data centre with a replica is cut from the others and from the platform. Inside, pages that
- * accept data of an hour are served from its replica; outside, orders go on. After the cut heals,
- * orders pass through its VM again by themselves.
+ * A data centre with a replica is isolated from the other data centres and from the platform. Reads
+ * there that accept data up to an hour old have to be served by its replica, and writes elsewhere
+ * have to continue. After the partition, writes through the isolated VM have to work again without
+ * intervention.
  */
 static void test_cut_data_center_serves_what_it_can(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
 	PGconn *page, *order;
 	const char *state;
-	int i, served_pages = 0, vm = 2;
+	int i, served_reads = 0, vm = 2;
 
-	CHECK(fleet_primary(f) == 0, "the primary is in dc1");
+	CHECK(fleet_primary(f) == 0, "the primary is not in dc1");
 	page = fleet_connect(f, 2, "clerks", f->key,
 			     "-c mangoloom.kind=page -c mangoloom.max_age_ms=3600000 -c "
 			     "mangoloom.deadline_ms=3000");
@@ -432,17 +462,17 @@
 	test_sleep_ms(500);
 	for (i = 0; i < 10; i++) {
 		state = sql(page, NULL, 0, "SELECT value FROM warm WHERE key = 'up'");
-		served_pages += strcmp(state, "00000") == 0;
+		served_reads += strcmp(state, "00000") == 0;
 		test_sleep_ms(100);
 	}
-	CHECK(served_pages >= 9, "%d of 10 pages", served_pages);
+	CHECK(served_reads >= 9, "%d of 10 reads served", served_reads);
 	order = fleet_connect_orders(f, 0);
 	state = sql(order, NULL, 0, "INSERT INTO orders VALUES ('outside', 'x')");
 	CHECK(strcmp(state, "00000") == 0, "%s", state);
 	PQfinish(order);
 	fleet_partition(f, "dc3", false);
 	fleet_platform_fault(f, "{\"down\":false}");
-	CHECK(wait_until(reads_served, f, &vm, 8000), "reads are not served after the cut");
+	CHECK(wait_until(reads_served, f, &vm, 8000), "reads are not served after the partition");
 	order = fleet_connect_orders(f, 2);
 	state = sql(order, NULL, 0, "INSERT INTO orders VALUES ('healed', 'x')");
 	CHECK(strcmp(state, "00000") == 0, "%s", state);
@@ -452,8 +482,9 @@
 }
 
 /*
- * Homes move while every VM sends; no member ever has more connections than it accepts, nor are
- * callers refused.
+ * The home of a member is the daemon that holds its connections. VMs leave and join the list under
+ * load, so that homes move. Guards against two homes that together open more connections than a
+ * member accepts, and against callers that are refused meanwhile.
  */
 static void test_connections_stay_within_the_limit(void)
 {
@@ -486,7 +517,7 @@
 
 		sql(c, value, sizeof(value), "SELECT mangoloom_peak()");
 		sscanf(value, "%d", &peak);
-		CHECK(peak <= 8, "%s had %d connections", f->member[i].name, peak);
+		CHECK(peak <= 8, "%s had %d connections at once", f->member[i].name, peak);
 		PQfinish(c);
 	}
 	CHECK(not_run == 0, "%d not run", not_run);
--- a/tests/test-it-line.c
+++ b/tests/test-it-line.c
@@ -1,4 +1,7 @@
-/** @file test-it-line.c Daemons on the prepared platform, before members that are led from outside.
+/**
+ * @file test-it-line.c
+ * Daemons on the prepared platform, with callers that use the line protocol and members that are
+ * promoted by a promoter outside the database.
  */
 #include "harness-line.h"
 
@@ -8,33 +11,36 @@
 
 static struct line_fleet *shared_fleet;
 
-/** A fleet of three VMs that cases without lasting faults share. */
-static struct line_fleet *shared(void)
+/** Returns the fleet of three VMs for cases that leave no fault behind; the first call starts it.
+ */
+static struct line_fleet *get_shared_fleet(void)
 {
 	if (shared_fleet == NULL)
 		shared_fleet = line_fleet_start(3);
 	return shared_fleet;
 }
 
-#define OK(c, ...) CU_ASSERT_STRING_EQUAL(line_query((c), __VA_ARGS__), "COMPLETE")
-#define IS(c, expected, ...)                                                                       \
+/** Runs a statement and checks that it completes. */
+#define EXPECT_COMPLETE(c, ...) CU_ASSERT_STRING_EQUAL(line_query((c), __VA_ARGS__), "COMPLETE")
+/** Runs a statement and checks that it ends with the code @a expected. */
+#define EXPECT_CODE(c, expected, ...)                                                              \
 	do {                                                                                       \
-		const char *is_code = line_query((c), __VA_ARGS__);                                \
-		CHECK(strcmp(is_code, (expected)) == 0, "%s %s", is_code, (c)->text);              \
+		const char *actual_code = line_query((c), __VA_ARGS__);                            \
+		CHECK(strcmp(actual_code, (expected)) == 0, "%s %s", actual_code, (c)->text);      \
 	} while (0)
 
 static void test_reads_and_writes(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c, other;
 
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_SESSION, LINE_KEY));
 	CU_ASSERT_TRUE(line_connect(&other, f, 2, LINE_DB_PRIMARY, LINE_KEY));
-	OK(&c, "WRITE a1 first");
+	EXPECT_COMPLETE(&c, "WRITE a1 first");
 	CU_ASSERT_EQUAL(line_log_count(f, c.id), 1);
-	OK(&c, "READ a1");
+	EXPECT_COMPLETE(&c, "READ a1");
 	CU_ASSERT_STRING_EQUAL(c.row, "first");
-	OK(&other, "READ a1");
+	EXPECT_COMPLETE(&other, "READ a1");
 	CU_ASSERT_STRING_EQUAL(other.row, "first");
 	CU_ASSERT_EQUAL(c.state, 'I');
 	line_close(&c);
@@ -43,60 +49,60 @@
 
 static void test_transactions(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c, d;
 
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
 	CU_ASSERT_TRUE(line_connect(&d, f, 1, LINE_DB_PRIMARY, LINE_KEY));
-	OK(&c, "BEGIN");
+	EXPECT_COMPLETE(&c, "BEGIN");
 	CU_ASSERT_EQUAL(c.state, 'T');
-	OK(&c, "WRITE t1 inside");
-	OK(&d, "READ t1");
+	EXPECT_COMPLETE(&c, "WRITE t1 inside");
+	EXPECT_COMPLETE(&d, "READ t1");
 	CU_ASSERT_STRING_EQUAL(d.row, "-");
-	OK(&c, "COMMIT");
+	EXPECT_COMPLETE(&c, "COMMIT");
 	CU_ASSERT_EQUAL(c.state, 'I');
-	OK(&d, "READ t1");
+	EXPECT_COMPLETE(&d, "READ t1");
 	CU_ASSERT_STRING_EQUAL(d.row, "inside");
-	OK(&c, "BEGIN");
-	OK(&c, "WRITE t1 undone");
-	OK(&c, "ROLLBACK");
-	OK(&c, "READ t1");
+	EXPECT_COMPLETE(&c, "BEGIN");
+	EXPECT_COMPLETE(&c, "WRITE t1 undone");
+	EXPECT_COMPLETE(&c, "ROLLBACK");
+	EXPECT_COMPLETE(&c, "READ t1");
 	CU_ASSERT_STRING_EQUAL(c.row, "inside");
-	OK(&c, "BEGIN");
-	OK(&c, "COMMIT");
+	EXPECT_COMPLETE(&c, "BEGIN");
+	EXPECT_COMPLETE(&c, "COMMIT");
 	CHECK(strcmp(c.text, "-") != 0,
-	      "a commit carries the member's signature, also an empty one");
-	IS(&c, "MALFORMED", "COMMIT");
-	IS(&c, "MALFORMED", "ROLLBACK");
+	      "the answer to an empty commit lacks the member's signature");
+	EXPECT_CODE(&c, "MALFORMED", "COMMIT");
+	EXPECT_CODE(&c, "MALFORMED", "ROLLBACK");
 	line_close(&c);
 	line_close(&d);
 }
 
 static void test_prepared_statements_and_values(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c, d;
 
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
 	CU_ASSERT_TRUE(line_connect(&d, f, 0, LINE_DB_PRIMARY, LINE_KEY));
-	/* Two callers give the same name to different shapes. */
-	OK(&c, "PREPARE s1 WRITE q1");
-	OK(&d, "PREPARE s1 READ q2");
-	OK(&c, "EXECUTE s1 p1 value");
-	OK(&d, "EXECUTE s1 p1");
+	/* Two callers use the same name for different prepared statements. */
+	EXPECT_COMPLETE(&c, "PREPARE s1 WRITE q1");
+	EXPECT_COMPLETE(&d, "PREPARE s1 READ q2");
+	EXPECT_COMPLETE(&c, "EXECUTE s1 p1 value");
+	EXPECT_COMPLETE(&d, "EXECUTE s1 p1");
 	CU_ASSERT_STRING_EQUAL(d.row, "value");
-	OK(&c, "SET tz Africa/Tunis");
-	OK(&c, "READ p1");
-	OK(&c, "DEALLOCATE s1");
-	IS(&c, "NOSUCHNAME", "EXECUTE s1 p1 value");
-	OK(&d, "EXECUTE s1 p1");
+	EXPECT_COMPLETE(&c, "SET tz Africa/Tunis");
+	EXPECT_COMPLETE(&c, "READ p1");
+	EXPECT_COMPLETE(&c, "DEALLOCATE s1");
+	EXPECT_CODE(&c, "NOSUCHNAME", "EXECUTE s1 p1 value");
+	EXPECT_COMPLETE(&d, "EXECUTE s1 p1");
 	line_close(&c);
 	line_close(&d);
 }
 
 static void test_who_may_not(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c;
 
 	CU_ASSERT_FALSE(line_connect(&c, f, 0, LINE_DB_PRIMARY, "wrong"));
@@ -108,12 +114,13 @@
 }
 
 /*
- * A caller sends a statement with a lone CR, one whose id is that of commands of our own, one that
- * is none, and a line over the limit. Nothing of it may reach a member as another statement.
+ * Guards against malformed input that reaches a member as a statement: a line with a lone CR, the
+ * request id "-" that the proxy uses for its own commands, commands that callers may not send, and
+ * a line over the size limit.
  */
 static void test_what_is_no_statement(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c;
 	char *big = g_strnfill(1100000, 'x');
 	int64_t before = line_report(f, "store_calls");
@@ -121,8 +128,8 @@
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
 	line_send(&c, "QUERY - WRITE z1 hidden\r\n", 25);
 	CU_ASSERT_STRING_EQUAL(line_read_answer(&c), "MALFORMED");
-	IS(&c, "MALFORMED", "WAITFOR 1.1 READ a1");
-	IS(&c, "MALFORMED", "STEPDOWN 9");
+	EXPECT_CODE(&c, "MALFORMED", "WAITFOR 1.1 READ a1");
+	EXPECT_CODE(&c, "MALFORMED", "STEPDOWN 9");
 	line_send(&c, "QUERY 77 READ a1\rQUERY - STEPDOWN 99\r\n", 38);
 	CU_ASSERT_STRING_EQUAL(line_read_answer(&c), "MALFORMED");
 	line_close(&c);
@@ -132,7 +139,7 @@
 	CU_ASSERT_STRING_EQUAL(line_read_answer(&c), "TOOLARGE");
 	line_close(&c);
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
-	OK(&c, "READ z1");
+	EXPECT_COMPLETE(&c, "READ z1");
 	CU_ASSERT_STRING_EQUAL(c.row, "-");
 	line_close(&c);
 	g_free(big);
@@ -140,38 +147,38 @@
 }
 
 /*
- * Commit answers are lost, or break off midway. The caller of a write is told that nobody knows; a
- * read is served by another member, in its time.
+ * Answers of members are lost or cut off midway. The caller of a write has to get INDOUBT, since
+ * its outcome is unknown; a read has to be served by another member within its deadline.
  */
 static void test_lost_answers(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c;
 	char primary[32];
 	int i;
 
 	line_primary(f, primary);
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_SESSION, LINE_KEY));
-	OK(&c, "WRITE l1 before");
+	EXPECT_COMPLETE(&c, "WRITE l1 before");
 	line_fault(f, "{\"member\":\"%s\",\"lose_answers\":1}", primary);
-	IS(&c, "INDOUBT", "WRITE l1 after");
+	EXPECT_CODE(&c, "INDOUBT", "WRITE l1 after");
 	CU_ASSERT_EQUAL(line_log_count(f, c.id), 1);
 	for (i = 0; i < LINE_MEMBERS; i++)
 		line_fault(f, "{\"member\":\"m%d\",\"lose_answers\":%d}", i, i % 2 == 0 ? 1 : 0);
-	OK(&c, "READ l1");
+	EXPECT_COMPLETE(&c, "READ l1");
 	for (i = 0; i < LINE_MEMBERS; i++)
 		line_fault(f, "{\"member\":\"m%d\",\"lose_answers\":0,\"cut_answers\":%d}", i,
 			   i % 2);
-	OK(&c, "READ l1");
+	EXPECT_COMPLETE(&c, "READ l1");
 	for (i = 0; i < LINE_MEMBERS; i++)
 		line_fault(f, "{\"member\":\"m%d\",\"cut_answers\":0}", i);
 	line_close(&c);
 }
 
-/* A caller with a key that is taken away: its open session ends, also the one that rests. */
+/* Guards against an open session that stays usable after its key was withdrawn. */
 static void test_a_withdrawn_key_stops_working(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c;
 	int64_t until;
 
@@ -180,7 +187,7 @@
 	until = test_now_ms() + 5000;
 	while (!line_connect(&c, f, 1, LINE_DB_PRIMARY, "second") && test_now_ms() < until)
 		line_close(&c);
-	OK(&c, "WRITE k1 x");
+	EXPECT_COMPLETE(&c, "WRITE k1 x");
 	f->keys = "[\"" LINE_KEY "\"]";
 	line_write_document(f);
 	until = test_now_ms() + 5000;
@@ -190,10 +197,13 @@
 	line_close(&c);
 }
 
-/* The document, an entry of it and a server's entry cannot be read: what can be goes on to hold. */
+/*
+ * The operators' document and two server entries in the store are malformed. Guards against one
+ * malformed record that invalidates the others or the configuration in force.
+ */
 static void test_malformed_records(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c;
 
 	line_fault(f, "{\"put\":\"servers/bad\",\"value\":\"{\\\"service\\\":7\"}");
@@ -201,15 +211,19 @@
 	line_fault(f, "{\"put\":\"op/config\",\"value\":\"no document\"}");
 	test_sleep_ms(300);
 	CU_ASSERT_TRUE(line_connect(&c, f, 0, LINE_DB_PRIMARY, LINE_KEY));
-	OK(&c, "WRITE b1 x");
+	EXPECT_COMPLETE(&c, "WRITE b1 x");
 	line_close(&c);
 	line_write_document(f);
 }
 
-/* The store turns all calls away, or says nothing: what runs goes on, since leases outlast it. */
+/*
+ * The store refuses all calls, or does not answer, for less than a lease. Guards against statements
+ * that fail meanwhile, and against configuration changes that are missed afterwards, also when the
+ * store has compacted its history.
+ */
 static void test_without_the_store(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c;
 	int round;
 
@@ -217,8 +231,8 @@
 		line_fault(f, "{\"store\":\"%s\"}", round == 0 ? "refuse" : "silent");
 		test_sleep_ms(1500);
 		CU_ASSERT_TRUE(line_connect(&c, f, 1, LINE_DB_SESSION, LINE_KEY));
-		OK(&c, "WRITE s%d x", round);
-		OK(&c, "READ s%d", round);
+		EXPECT_COMPLETE(&c, "WRITE s%d x", round);
+		EXPECT_COMPLETE(&c, "READ s%d", round);
 		line_close(&c);
 		line_fault(f, "{\"store\":\"ok\"}");
 		test_sleep_ms(1200);
@@ -229,21 +243,21 @@
 	int64_t until = test_now_ms() + 8000;
 	while (!line_connect(&c, f, 2, LINE_DB_PRIMARY, "third") && test_now_ms() < until)
 		line_close(&c);
-	CHECK(c.state == 'I', "after history was dropped: %s", c.code);
+	CHECK(c.state == 'I', "key not accepted after the store compacted its history: %s", c.code);
 	line_close(&c);
 }
 
-/* SIGHUP tells that the settings file was written anew; the process goes on. */
+/* SIGHUP reloads the settings file; open sessions continue. */
 static void test_reload(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	struct line_client c;
 	char *log;
 
 	CU_ASSERT_TRUE(line_connect(&c, f, 2, LINE_DB_PRIMARY, LINE_KEY));
 	line_vm_signal(f, 2, SIGHUP);
 	test_sleep_ms(300);
-	OK(&c, "WRITE h1 x");
+	EXPECT_COMPLETE(&c, "WRITE h1 x");
 	line_close(&c);
 	log = line_vm_log(f, 2);
 	CU_ASSERT_PTR_NOT_NULL(strstr(log, "event=reload"));
@@ -252,29 +266,30 @@
 
 static void test_endpoints(void)
 {
-	struct line_fleet *f = shared();
+	struct line_fleet *f = get_shared_fleet();
 	char *body = NULL;
 
 	CU_ASSERT_EQUAL(line_get(f->vm[0].ready, "/-/readiness", NULL), 200);
 	CU_ASSERT_EQUAL(line_get(f->vm[0].metrics, "/metrics", &body), 200);
 	CU_ASSERT_PTR_NOT_NULL(strstr(body, "mangoloom_requests_total "));
 	CU_ASSERT_PTR_NOT_NULL(strstr(body, "mangoloom_outcomes_total{outcome=\"done\"} "));
-	CHECK(strstr(body, LINE_KEY) == NULL, "no key is told");
+	CHECK(strstr(body, LINE_KEY) == NULL, "a key is in the metrics");
 	g_free(body);
 }
 
-/* Keep as the last of those that share the fleet. */
+/* Checks the stand-in's counters and stops the shared fleet, so it comes after all cases that use
+ * it. */
 static void test_shared_ends(void)
 {
-	CU_ASSERT_EQUAL(line_report(shared(), "token_regressed"), 0);
-	CU_ASSERT_EQUAL(line_report(shared(), "replaced_commits"), 0);
+	CU_ASSERT_EQUAL(line_report(get_shared_fleet(), "token_regressed"), 0);
+	CU_ASSERT_EQUAL(line_report(get_shared_fleet(), "replaced_commits"), 0);
 	line_fleet_stop(shared_fleet);
 	shared_fleet = NULL;
 }
 
 /*
- * A caller is told that its database does not exist, and gives up. It came to a VM that had just
- * started and had no configuration yet. Such a VM says that it can't serve now.
+ * Guards against NODATABASE from a VM that has just started and has no configuration yet: callers
+ * take it for permanent. The VM has to answer BUSY.
  */
 static void test_a_vm_without_configuration_denies_no_database(void)
 {
--- a/tests/test-it-once.c
+++ b/tests/test-it-once.c
@@ -1,4 +1,8 @@
-/** @file test-it-once.c At most once, true outcomes and whole answers, under broken connections. */
+/**
+ * @file test-it-once.c
+ * Statements run at most once, callers get the true outcome, and results are complete, while
+ * connections break.
+ */
 #include "harness.h"
 
 #include <signal.h>
@@ -8,7 +12,8 @@
 
 #define WRITERS 6
 
-static bool served(struct test_fleet *f, void *arg)
+/** Returns whether the VM with the index *@a arg serves a write. */
+static bool write_served(struct test_fleet *f, void *arg)
 {
 	PGconn *c = fleet_connect_orders(f, *(int *)arg);
 	bool ok = strcmp(sql(c, NULL, 0, "INSERT INTO warm VALUES ('again', '1')"), "00000") == 0;
@@ -18,10 +23,10 @@
 }
 
 /*
- * Orders that may not be repeated go on while connections to databases and between VMs are reset,
- * freeze, and lose either direction, over and over. Whatever each caller was told is compared with
- * the database's own log: acknowledged is there once, "not run" is not there, and nothing is there
- * twice.
+ * Connections to databases and between VMs are reset, frozen, and blocked in one direction at
+ * random while writers send orders that may not be repeated. Guards against a reported outcome that
+ * differs from the database's log: an acknowledged order is there exactly once, one reported as not
+ * run is not there, and none is there twice.
  */
 static void test_a_thousand_faulted_requests(void)
 {
@@ -63,16 +68,17 @@
 		not_run += w[i].not_run;
 		unknown += w[i].unknown;
 	}
-	printf("%d faults: %d acknowledged, %d not run, %d unknown\n", round, acked, not_run,
-	       unknown);
-	CHECK(acked + not_run + unknown >= 1000, "%d requests", acked + not_run + unknown);
+	printf("%d faults injected: %d acknowledged, %d not run, %d unknown\n", round, acked,
+	       not_run, unknown);
+	CHECK(acked + not_run + unknown >= 1000, "only %d requests", acked + not_run + unknown);
 	writers_verify(f, w, WRITERS);
 	fleet_tear_down(f);
 }
 
 /*
- * The home dies with statements inside. Callers hear the truth, and the next statements find the
- * member's next home.
+ * The home, the daemon that holds the primary's connections, is killed while statements run. Guards
+ * against wrong outcomes, and against writes that do not continue at the member's next home within
+ * 5 s.
  */
 static void test_home_dies_under_load(void)
 {
@@ -107,9 +113,9 @@
 }
 
 /*
- * Open connections to the primary go silent for good while new ones work. Callers that wait on one
- * are served within a few seconds, over a new connection, and an order whose COMMIT went into the
- * void is resolved by its fate.
+ * Open connections to the primary stop delivering data, while new ones work. Guards against callers
+ * that wait for a silent connection until their deadline: a new connection has to replace it within
+ * a few seconds, and the outcome of a COMMIT sent on the silent one has to be looked up.
  */
 static void test_silent_connections_are_replaced(void)
 {
@@ -139,8 +145,8 @@
 }
 
 /*
- * The same between two VMs: the RPC connection goes silent, a ping shows it, and the next call
- * opens a new one.
+ * The RPC connections between the VMs stop delivering data. Guards against calls that keep waiting
+ * on them: an unanswered ping has to close the connection, and the next call has to open a new one.
  */
 static void test_silent_rpc_is_replaced(void)
 {
@@ -152,15 +158,16 @@
 	for (vm = 0; vm < 3; vm++) {
 		int64_t start = test_now_ms();
 
-		CHECK(wait_until(served, f, &vm, 6000), "VM %d does not serve", vm);
+		CHECK(wait_until(write_served, f, &vm, 6000), "VM %d does not serve", vm);
 		CHECK(test_now_ms() - start < 6000, "%ld ms", (long)(test_now_ms() - start));
 	}
 	fleet_tear_down(f);
 }
 
 /*
- * The caller repeats an order under the same once-id after an outcome that it does not know. The
- * database has seen the id, in the same transaction as the order, so the order is not doubled.
+ * After an unknown outcome the caller repeats an order with the same once-id, by which the database
+ * detects a repetition. Guards against an order that runs twice: the id was stored in the
+ * transaction of the first order, so the second one fails with "already run".
  */
 static void test_once_id_stops_a_repetition(void)
 {
@@ -185,15 +192,15 @@
 }
 
 /*
- * A large answer is cut while it is on its way from the database: the caller gets all of it, or an
- * error.
+ * Connections are delayed and reset while a large result is on its way from the database. Guards
+ * against truncated results: the caller gets all of it or an error.
  */
 static void test_whole_answers_only(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
 	PGconn *c = fleet_connect(f, 1, "clerks", f->key, "-c mangoloom.kind=own");
 	char *value = g_malloc(3000000);
-	int whole = 0, refused = 0, i;
+	int complete = 0, refused = 0, i;
 
 	for (i = 0; i < 40; i++) {
 		const char *state;
@@ -205,27 +212,27 @@
 		state = sql(c, value, 3000000, "SELECT big(%d)", 500000 + i);
 		if (strcmp(state, "00000") == 0) {
 			CHECK(strlen(value) >= 500000, "only %zu bytes", strlen(value));
-			whole++;
+			complete++;
 		} else {
 			refused++;
 		}
 		if (PQstatus(c) != CONNECTION_OK)
 			PQreset(c);
 	}
-	printf("%d whole, %d errors\n", whole, refused);
-	CHECK(whole >= 30, "%d", whole);
+	printf("%d complete results, %d errors\n", complete, refused);
+	CHECK(complete >= 30, "%d", complete);
 	CHECK(strcmp(sql(c, NULL, 0, "SELECT big(20000000)"), "54000") == 0,
-	      "a result over the limit");
+	      "a result over the size limit is not refused");
 	g_free(value);
 	PQfinish(c);
 	fleet_tear_down(f);
 }
 
-/*
- * Many sessions, each with its own key, share few connections that are delayed and reset: no answer
- * reaches another.
+/**
+ * Reads the session's own key until the writer is stopped. The field "unknown" counts answers that
+ * belong to another session, "acked" counts all others.
  */
-static gpointer ask_own(gpointer data)
+static gpointer own_read_thread(gpointer data)
 {
 	struct writer *w = data;
 	PGconn *c = fleet_connect(w->f, w->vm, "clerks", w->f->key, "-c mangoloom.kind=own");
@@ -246,13 +253,17 @@
 	return NULL;
 }
 
+/*
+ * Many sessions, each reading its own key, share a few connections that are delayed and reset.
+ * Guards against an answer that is delivered to another session.
+ */
 static void test_no_crossed_answers(void)
 {
 	struct test_fleet *f =
 		fleet_start_up(&(struct fleet_plan){.connections = 6, .work_us = 300});
 	struct writer w[12];
 	PGconn *c = fleet_connect_orders(f, 0);
-	int crossed = 0, asked = 0, i;
+	int crossed = 0, answered = 0, i;
 
 	memset(w, 0, sizeof(w));
 	for (i = 0; i < 12; i++) {
@@ -260,7 +271,7 @@
 		sql(c, NULL, 0, "INSERT INTO orders VALUES ('%s', '%s')", w[i].prefix, w[i].prefix);
 		w[i].f = f;
 		w[i].vm = i % 3;
-		w[i].thread = g_thread_new("asker", ask_own, &w[i]);
+		w[i].thread = g_thread_new("asker", own_read_thread, &w[i]);
 	}
 	for (i = 0; i < 15; i++) {
 		fleet_fault(f, "delay %s %d", f->member[i % 3].name, i % 4 * 20);
@@ -271,10 +282,10 @@
 		w[i].stop = 1;
 		g_thread_join(w[i].thread);
 		crossed += w[i].unknown;
-		asked += w[i].acked;
+		answered += w[i].acked;
 	}
-	printf("%d answers, %d of another session\n", asked, crossed);
-	CHECK(crossed == 0 && asked > 200, "%d crossed of %d", crossed, asked);
+	printf("%d answers, %d answers of another session\n", answered, crossed);
+	CHECK(crossed == 0 && answered > 200, "%d crossed of %d", crossed, answered);
 	PQfinish(c);
 	fleet_tear_down(f);
 }
--- a/tests/test-it-owner.c
+++ b/tests/test-it-owner.c
@@ -1,4 +1,8 @@
-/** @file test-it-owner.c Members, owners and whole VMs fail while callers go on. */
+/**
+ * @file test-it-owner.c
+ * Members, owners and other VMs fail or leave under load. The owner is the VM that holds the
+ * connections of a database group and manages its primary.
+ */
 #include "harness-line.h"
 #include "harness-writer.h"
 
@@ -7,9 +11,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define OK(c, ...) CU_ASSERT_STRING_EQUAL(line_query((c), __VA_ARGS__), "COMPLETE")
+/** Runs a statement and checks that it completes. */
+#define EXPECT_COMPLETE(c, ...) CU_ASSERT_STRING_EQUAL(line_query((c), __VA_ARGS__), "COMPLETE")
 
-/** The newest revision of the group's record after @a event in a VM's log; -1 for none. */
+/** Returns the revision of the group's record in the last @a event of a VM's log; -1 for none. */
 static long logged_revision(const char *log, const char *event)
 {
 	char *mark = g_strdup_printf("event=%s pool=svc ", event);
@@ -21,8 +26,9 @@
 }
 
 /**
- * The VM that owns the group now, by the logs; -1 while the VMs do not know of the same record: one
- * that has not heard of it goes on sending to the owner before.
+ * Returns the VM that owns the group according to the logs; -1 while the VMs know different
+ * revisions of the group's record, since a VM with an older record still sends to the previous
+ * owner.
  */
 static int find_owner(struct line_fleet *f)
 {
@@ -49,10 +55,11 @@
 }
 
 /**
- * The same, once the group has moved to the data centre of its primary, m0, which is that of vm0:
- * before that it may move while a case goes on.
+ * Waits until vm0 owns the group, which is in the data centre of the primary m0. Until the group
+ * has moved there, its owner may change in the middle of a case.
+ * @return the owner, 0
  */
-static int owner_of_group(struct line_fleet *f)
+static int wait_for_owner(struct line_fleet *f)
 {
 	int64_t until = test_now_ms() + 10000;
 
@@ -62,6 +69,7 @@
 	return 0;
 }
 
+/** Waits up to @a ms until the log of @a vm contains @a text. @return whether it does */
 static bool wait_log(struct line_fleet *f, int vm, const char *text, int ms)
 {
 	int64_t until = test_now_ms() + ms;
@@ -78,8 +86,8 @@
 }
 
 /*
- * A primary's process ends. Callers see refusals that are true, or that nobody knows, until another
- * member leads; then writes go on, and nothing ran twice.
+ * The primary's process ends under load. Guards against writes that do not continue after the
+ * promotion of another member, against wrong outcomes, and against writes that run twice.
  */
 static void test_a_primary_ends(void)
 {
@@ -104,8 +112,9 @@
 }
 
 /*
- * A primary falls silent: no byte comes back, no connection opens. After the promotion it wakes and
- * thinks that it leads: no caller's write may be committed there any more.
+ * The primary stops answering: it sends no byte and accepts no connection. After the promotion of
+ * another member it answers again and still acts as primary. Guards against writes of callers that
+ * are committed there.
  */
 static void test_a_primary_falls_silent_and_wakes(void)
 {
@@ -126,8 +135,8 @@
 	line_fleet_stop(f);
 }
 
-/** Whether each of the writer's acknowledged writes stands in the newest primary's log, once. */
-static void check_kept(struct line_fleet *f, const struct line_writer *w)
+/** Checks that each acknowledged write of @a w is in the newest primary's log exactly once. */
+static void check_acknowledged_in_log(struct line_fleet *f, const struct line_writer *w)
 {
 	GHashTable *counts = line_log_counts(f);
 	guint i;
@@ -141,7 +150,9 @@
 	g_hash_table_unref(counts);
 }
 
-/* A primary is to leave: another takes over with all that it has, and no write is lost or unknown.
+/*
+ * The primary is marked as draining. Guards against a handover to a member that lacks some of its
+ * log, and against writes that are lost or get an unknown outcome.
  */
 static void test_a_primary_leaves(void)
 {
@@ -164,13 +175,13 @@
 	w.stop = 1;
 	g_thread_join(w.thread);
 	CU_ASSERT_EQUAL(w.unknown, 0);
-	check_kept(f, &w);
+	check_acknowledged_in_log(f, &w);
 	line_fleet_stop(f);
 }
 
 /*
- * Guards against statements that go on reaching an evacuated data centre, and against writes that
- * are lost as its primary hands over.
+ * A data centre is evacuated under load and returns. Guards against statements that still reach its
+ * member, and against writes that are lost when its primary hands over.
  */
 static void test_a_data_center_is_evacuated(void)
 {
@@ -181,7 +192,7 @@
 	int64_t before, until;
 	int i;
 
-	owner_of_group(f);
+	wait_for_owner(f);
 	for (i = 0; i < 2; i++)
 		line_writer_start(&w[i], f, i);
 	CU_ASSERT_TRUE(line_connect(&reader, f, 0, LINE_DB_BOUNDED, LINE_KEY));
@@ -197,19 +208,20 @@
 		test_sleep_ms(50);
 	before = line_member_report(f, "m0", "statements");
 	for (i = 0; i < 50; i++) {
-		OK(&reader, "READ x");
+		EXPECT_COMPLETE(&reader, "READ x");
 		test_sleep_ms(10);
 	}
 	CU_ASSERT_EQUAL(line_member_report(f, "m0", "statements"), before);
 	line_fault(f, "{\"remove\":\"op/evacuate/dc-m0\"}");
 	until = test_now_ms() + 5000;
 	while (line_member_report(f, "m0", "statements") == before && test_now_ms() < until)
-		OK(&reader, "READ x");
-	CHECK(line_member_report(f, "m0", "statements") > before, "m0 serves no reads again");
+		EXPECT_COMPLETE(&reader, "READ x");
+	CHECK(line_member_report(f, "m0", "statements") > before,
+	      "m0 serves no reads after the end of the evacuation");
 	for (i = 0; i < 2; i++) {
 		line_writer_stop(&w[i]);
 		CU_ASSERT_EQUAL(w[i].unknown, 0);
-		check_kept(f, &w[i]);
+		check_acknowledged_in_log(f, &w[i]);
 		printf("writer %d: longest gap %ld ms\n", i, (long)w[i].gap_ms);
 	}
 	CU_ASSERT_EQUAL(line_report(f, "promotions"), 1);
@@ -218,30 +230,30 @@
 }
 
 /*
- * The VM that owns the group is killed. An open transaction on it is told as rolled back, and
- * another VM goes on with the same primary, without a promotion.
+ * The owner's VM is killed. Guards against an open transaction that is not reported as aborted, and
+ * against a needless promotion: another VM has to take over the group with the same primary.
  */
 static void test_an_owner_is_killed(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
-	int owner = owner_of_group(f);
+	int owner = wait_for_owner(f);
 	struct line_client c;
 	int64_t start;
 
 	CU_ASSERT_TRUE(line_connect(&c, f, (owner + 1) % 3, LINE_DB_PRIMARY, LINE_KEY));
-	OK(&c, "BEGIN");
-	OK(&c, "WRITE o1 lost");
+	EXPECT_COMPLETE(&c, "BEGIN");
+	EXPECT_COMPLETE(&c, "WRITE o1 lost");
 	line_vm_signal(f, owner, SIGKILL);
 	test_sleep_ms(100);
 	line_query(&c, "READ o1");
 	CHECK(strcmp(c.code, "ABORTED") == 0, "%s %s", c.code, c.text);
 	CU_ASSERT_EQUAL(c.state, 'E');
-	OK(&c, "ROLLBACK");
+	EXPECT_COMPLETE(&c, "ROLLBACK");
 	CU_ASSERT_EQUAL(c.state, 'I');
 	start = test_now_ms();
 	CU_ASSERT_TRUE(line_wait_until_writable(f, (owner + 1) % 3, 8000));
-	printf("writes are back after %ld ms\n", (long)(test_now_ms() - start));
-	OK(&c, "READ o1");
+	printf("writes served again after %ld ms\n", (long)(test_now_ms() - start));
+	EXPECT_COMPLETE(&c, "READ o1");
 	CU_ASSERT_STRING_EQUAL(c.row, "-");
 	CU_ASSERT_EQUAL(line_report(f, "promotions"), 0);
 	line_close(&c);
@@ -249,19 +261,19 @@
 }
 
 /*
- * The owner's VM stands still: statements to it get no answer, and their callers leave meanwhile.
- * Their sessions must be freed once: the entry VM ends by itself otherwise. Reads that may be old
- * go on at replicas.
+ * The owner's VM is paused; callers disconnect while their statements to it are unanswered. Guards
+ * against freeing their sessions twice, which made the entry VM crash. Reads that accept old data
+ * have to continue at replicas.
  */
 static void test_an_owner_stands_still(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
-	int owner = owner_of_group(f), entry, i;
+	int owner = wait_for_owner(f), entry, i;
 	struct line_client c, gone[8];
 
 	entry = (owner + 1) % 3;
 	CU_ASSERT_TRUE(line_connect(&c, f, entry, LINE_DB_BOUNDED, LINE_KEY));
-	OK(&c, "READ x");
+	EXPECT_COMPLETE(&c, "READ x");
 	for (i = 0; i < 8; i++)
 		CU_ASSERT_TRUE(line_connect(&gone[i], f, entry, LINE_DB_BOUNDED, LINE_KEY));
 	line_vm_signal(f, owner, SIGSTOP);
@@ -270,24 +282,25 @@
 	test_sleep_ms(60);
 	for (i = 0; i < 8; i++)
 		line_close(&gone[i]);
-	OK(&c, "READ x");
-	CHECK(wait_log(f, entry, "event=reads-begin", 2000), "the read was not served here");
+	EXPECT_COMPLETE(&c, "READ x");
+	CHECK(wait_log(f, entry, "event=reads-begin", 2000),
+	      "the read was not served by the entry VM");
 	test_sleep_ms(900);
 	line_vm_signal(f, owner, SIGCONT);
 	CU_ASSERT_TRUE(line_wait_until_writable(f, entry, 8000));
-	OK(&c, "READ x");
+	EXPECT_COMPLETE(&c, "READ x");
 	line_close(&c);
 	line_fleet_stop(f);
 }
 
 /*
- * An owner stands still for longer than its lease, and wakes. Another VM has the group by then and
- * has changed the primary: what the old owner still holds may not be believed or sent.
+ * An owner is paused for longer than its lease and continues. Meanwhile another VM owns the group
+ * and has changed the primary. Guards against using the old owner's statements and state.
  */
 static void test_an_owner_wakes_after_its_lease(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
-	int owner = owner_of_group(f), entry;
+	int owner = wait_for_owner(f), entry;
 	char primary[32];
 
 	entry = (owner + 1) % 3;
@@ -307,34 +320,35 @@
 }
 
 /*
- * A VM is told to stop. It is not ready at once; open transactions end in their time; sessions at
- * rest are closed; its lease is given up, and it ends by itself within the grace.
+ * A VM stops on SIGTERM. Guards against a planned stop that interrupts callers: readiness has to
+ * fail at once, open transactions have to end normally, idle sessions are closed, the VM gives up
+ * its lease and exits within the grace period.
  */
 static void test_a_planned_stop_cuts_nothing(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
-	int owner = owner_of_group(f);
+	int owner = wait_for_owner(f);
 	int64_t leases = line_report(f, "leases");
 	struct line_client idle, tx;
 	struct line_writer w;
 
 	CU_ASSERT_TRUE(line_connect(&idle, f, owner, LINE_DB_PRIMARY, LINE_KEY));
 	CU_ASSERT_TRUE(line_connect(&tx, f, (owner + 1) % 3, LINE_DB_PRIMARY, LINE_KEY));
-	OK(&idle, "READ x");
-	OK(&tx, "BEGIN");
-	OK(&tx, "WRITE stop1 kept");
+	EXPECT_COMPLETE(&idle, "READ x");
+	EXPECT_COMPLETE(&tx, "BEGIN");
+	EXPECT_COMPLETE(&tx, "WRITE stop1 kept");
 	line_writer_start(&w, f, (owner + 2) % 3);
 	test_sleep_ms(200);
 	line_vm_signal(f, owner, SIGTERM);
 	test_sleep_ms(100);
 	CU_ASSERT_EQUAL(line_get(f->vm[owner].ready, "/-/readiness", NULL), 503);
-	OK(&tx, "WRITE stop2 kept");
-	OK(&tx, "COMMIT");
-	OK(&idle, "READ x");
+	EXPECT_COMPLETE(&tx, "WRITE stop2 kept");
+	EXPECT_COMPLETE(&tx, "COMMIT");
+	EXPECT_COMPLETE(&idle, "READ x");
 	CU_ASSERT_EQUAL(line_vm_wait(f, owner, 6000), 0);
 	line_query(&idle, "READ x");
 	CU_ASSERT_STRING_EQUAL(idle.code, "");
-	OK(&tx, "READ stop2");
+	EXPECT_COMPLETE(&tx, "READ stop2");
 	CU_ASSERT_STRING_EQUAL(tx.row, "kept");
 	line_writer_stop(&w);
 	CU_ASSERT_EQUAL(w.unknown, 0);
@@ -345,15 +359,15 @@
 }
 
 /*
- * A VM that is cut off makes its callers wait for each refusal: first for a token of a rate of
- * which it has little, then for an owner that it does not reach. Once no owner takes statements,
- * those that would wait for a token are refused at once. Transactions that begin take the tokens
- * here: what was refused without having run gives its own back.
+ * Guards against callers of an isolated VM that wait twice before they are refused: for a token of
+ * a rate of which the VM holds a small part, then for an owner that it cannot reach. Once no owner
+ * accepts statements, those that would wait for a token have to be refused at once. The BEGIN
+ * statements take the tokens here; a statement that was refused without having run returns its own.
  */
 static void test_no_wait_for_a_token_without_an_owner(void)
 {
 	struct line_fleet *f = line_fleet_start(2);
-	int owner = owner_of_group(f), entry = 1 - owner, i;
+	int owner = wait_for_owner(f), entry = 1 - owner, i;
 	struct line_client *c = g_new0(struct line_client, 80);
 	struct line_client *tx = g_new0(struct line_client, 80);
 
@@ -368,13 +382,14 @@
 		line_send(&tx[i], "QUERY b BEGIN\r\n", 15);
 		CU_ASSERT_TRUE(line_connect(&c[i], f, entry, LINE_DB_PRIMARY, LINE_KEY));
 		line_send(&c[i], "QUERY g WRITE x 1\r\n", 19);
-		/* The first ones find that no owner is there; the others come at once. */
+		/* The first ones detect that no owner answers; the others follow without delay. */
 		test_sleep_ms(i < 16 ? 250 : 1);
 	}
-	CHECK(wait_log(f, entry, "event=owner-gone request=g", 3000), "nothing refused at once");
+	CHECK(wait_log(f, entry, "event=owner-gone request=g", 3000),
+	      "no statement refused at once");
 	CHECK(wait_log(f, entry, "outcome=leaving by=\"\" tries=0", 3000) &&
 		      wait_log(f, entry, "retry_after_us=1000000", 3000),
-	      "callers are told to come back too soon");
+	      "callers are asked to retry too soon");
 	for (i = 0; i < 80; i++) {
 		CHECK(strcmp(line_read_answer(&c[i]), "COMPLETE") != 0, "statement %d was served",
 		      i);
@@ -392,7 +407,7 @@
 	line_fleet_stop(f);
 }
 
-/* All VMs lose their power at the same moment: they serve again seconds after they start. */
+/* All VMs are killed at the same moment. They have to serve again within 8 s of their start. */
 static void test_all_vms_start_again(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
--- a/tests/test-it-rate.c
+++ b/tests/test-it-rate.c
@@ -1,4 +1,4 @@
-/** @file test-it-rate.c Rates over all VMs together, and fairness between teams. */
+/** @file test-it-rate.c Rate limits over all VMs together, and fairness between teams. */
 #include "harness.h"
 
 #include <signal.h>
@@ -9,9 +9,10 @@
 #define TEAM(name, rate, burst)                                                                    \
 	"[[team]]\nname = \"" name "\"\nrate = " rate "\nburst = " burst "\n"
 
-/** Sessions of the team that sends too much. */
-#define BUSY 150
+/** Number of sessions of the team that exceeds its rate. */
+#define BUSY_SESSIONS 150
 
+/** Returns the number of orders in the primary's database. */
 static unsigned count_orders(struct test_fleet *f)
 {
 	PGconn *c = member_connect(f, fleet_primary(f));
@@ -22,7 +23,8 @@
 	return (unsigned)atoi(value);
 }
 
-static bool share_whole(struct test_fleet *f, void *arg)
+/** Returns whether the VMs together hold more than 95 % of the rate. */
+static bool rate_distributed(struct test_fleet *f, void *arg)
 {
 	char *out;
 	double sum = 0;
@@ -39,22 +41,27 @@
 	return sum > 0.95;
 }
 
-static struct test_fleet *limited_fleet(int vms, const char *routes)
+/** Starts a fleet and waits until the teams' rates are distributed over the VMs. */
+static struct test_fleet *start_limited_fleet(int vms, const char *routes)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.vms = vms, .routes = routes});
 
-	CHECK(wait_until(share_whole, f, NULL, 10000), "the rate is not given out");
+	CHECK(wait_until(rate_distributed, f, NULL, 10000),
+	      "the rate is not distributed over the VMs");
 	return f;
 }
 
-/** Hammer from every VM while @a during runs; count at the database against rate and burst. */
-static void hammer(struct test_fleet *f, double rate, double burst,
-		   void (*during)(struct test_fleet *f), const char *what)
+/**
+ * Writes at full speed through every VM while @a inject_fault runs, and compares the number of
+ * orders in the database with what @a rate (per second) and @a burst allow.
+ */
+static void check_rate_under_load(struct test_fleet *f, double rate, double burst,
+				  void (*inject_fault)(struct test_fleet *f), const char *what)
 {
 	struct writer w[8];
-	unsigned before = count_orders(f), got;
+	unsigned before = count_orders(f), served;
 	int64_t start = test_now_us();
-	double seconds, allowed;
+	double elapsed_s, allowed;
 	int i;
 
 	memset(w, 0, sizeof(w));
@@ -65,24 +72,24 @@
 		w[i].pause_us = 500;
 		writer_start(&w[i], f, i, prefix);
 	}
-	during(f);
+	inject_fault(f);
 	for (i = 0; i < f->plan.vms; i++)
 		writer_stop(&w[i]);
-	seconds = (double)(test_now_us() - start) / 1e6;
-	got = count_orders(f) - before;
-	allowed = rate * seconds + burst;
-	printf("%s: %u orders in %.1f s, %.0f allowed (%.0f%%)\n", what, got, seconds, allowed,
-	       100.0 * got / allowed);
-	CHECK((double)got <= allowed, "%u of %.0f", got, allowed);
-	CHECK((double)got >= allowed / 4, "only %u of %.0f", got, allowed);
+	elapsed_s = (double)(test_now_us() - start) / 1e6;
+	served = count_orders(f) - before;
+	allowed = rate * elapsed_s + burst;
+	printf("%s: %u orders in %.1f s, %.0f allowed (%.0f%%)\n", what, served, elapsed_s, allowed,
+	       100.0 * served / allowed);
+	CHECK((double)served <= allowed, "%u orders, %.0f allowed", served, allowed);
+	CHECK((double)served >= allowed / 4, "only %u orders of %.0f allowed", served, allowed);
 }
 
-static void during_nothing(struct test_fleet *f)
+static void fault_none(struct test_fleet *f)
 {
 	test_sleep_ms(3000);
 }
 
-static void during_kill(struct test_fleet *f)
+static void fault_kill_vm(struct test_fleet *f)
 {
 	test_sleep_ms(1000);
 	fleet_vm_signal(f, 4, SIGKILL);
@@ -91,8 +98,11 @@
 	test_sleep_ms(2000);
 }
 
-/* Stopped for longer than its parts are kept for it, taken off the list meanwhile, and woken. */
-static void during_pause(struct test_fleet *f)
+/*
+ * Pauses a VM for longer than its part of the rate is reserved for it, with the VM removed from the
+ * platform's list meanwhile, and resumes it.
+ */
+static void fault_pause_vm(struct test_fleet *f)
 {
 	test_sleep_ms(500);
 	fleet_vm_signal(f, 5, SIGSTOP);
@@ -103,7 +113,7 @@
 	fleet_list_vms(f, -1);
 }
 
-static void during_cut(struct test_fleet *f)
+static void fault_partition(struct test_fleet *f)
 {
 	test_sleep_ms(500);
 	fleet_partition(f, "dc3", true);
@@ -112,7 +122,7 @@
 	test_sleep_ms(1000);
 }
 
-static void during_platform_down(struct test_fleet *f)
+static void fault_platform_down(struct test_fleet *f)
 {
 	fleet_platform_fault(f, "{\"down\":true}");
 	test_sleep_ms(1000);
@@ -124,28 +134,29 @@
 }
 
 /*
- * One team sends all it can through six VMs. Counted at the database it never gets more than its
- * rate and burst: at rest, while a holder is killed and restarted, paused and woken after its part
- * was given away, cut off, and while the platform is down.
+ * One team sends as fast as it can through six VMs. Guards against more statements at the database
+ * than rate and burst allow: without faults, while a VM that holds a part of the rate is killed and
+ * restarted, isolated, or paused until its part was reassigned, and while the platform is down.
  */
 static void test_rate_is_never_passed(void)
 {
-	struct test_fleet *f = limited_fleet(6, TEAM("clerks", "200", "100") HARNESS_ROUTES);
+	struct test_fleet *f = start_limited_fleet(6, TEAM("clerks", "200", "100") HARNESS_ROUTES);
 
-	hammer(f, 200, 100, during_nothing, "at rest");
-	hammer(f, 200, 100, during_kill, "a VM killed and restarted");
-	hammer(f, 200, 100, during_cut, "a data centre cut off");
-	hammer(f, 200, 100, during_platform_down, "platform down, a VM restarted");
-	hammer(f, 200, 100, during_pause, "a VM paused and woken");
+	check_rate_under_load(f, 200, 100, fault_none, "no fault");
+	check_rate_under_load(f, 200, 100, fault_kill_vm, "a VM killed and restarted");
+	check_rate_under_load(f, 200, 100, fault_partition, "a data centre isolated");
+	check_rate_under_load(f, 200, 100, fault_platform_down, "platform down, a VM restarted");
+	check_rate_under_load(f, 200, 100, fault_pause_vm, "a VM paused and resumed");
 	fleet_tear_down(f);
 }
 
 /*
- * A team within its rate is not refused, wherever its demand is: spread, all at one VM, and moving.
+ * A team stays within its rate while its load is spread over all VMs, comes through one VM, and
+ * moves between VMs. Guards against refusals.
  */
 static void test_within_rate_nothing_is_refused(void)
 {
-	struct test_fleet *f = limited_fleet(6, TEAM("clerks", "400", "200") HARNESS_ROUTES);
+	struct test_fleet *f = start_limited_fleet(6, TEAM("clerks", "400", "200") HARNESS_ROUTES);
 	struct writer w[6];
 	int refused = 0, acked = 0, round, i;
 
@@ -165,19 +176,19 @@
 			acked += w[i].acked;
 		}
 	}
-	printf("within its rate: %d acknowledged, %d refused\n", acked, refused);
+	printf("team within its rate: %d acknowledged, %d refused\n", acked, refused);
 	CHECK(acked > 800, "%d", acked);
 	CHECK(refused == 0, "%d refused of %d", refused, acked);
 	fleet_tear_down(f);
 }
 
 /*
- * A burst of one, split over six VMs, would serve nobody; it is served wherever the caller
- * connects.
+ * Split over six VMs, a burst of two is less than one token for each. Guards against statements
+ * that are refused for that reason: each has to be served at every VM.
  */
 static void test_small_burst_is_served_everywhere(void)
 {
-	struct test_fleet *f = limited_fleet(6, TEAM("clerks", "20", "2") HARNESS_ROUTES);
+	struct test_fleet *f = start_limited_fleet(6, TEAM("clerks", "20", "2") HARNESS_ROUTES);
 	int i;
 
 	for (i = 0; i < 12; i++) {
@@ -192,9 +203,9 @@
 }
 
 /*
- * Monday: one team sends five times its rate at two slots of 1 ms. Another team inside its rate
- * keeps what it gets alone, and the excess is refused to the first team, at once and with when to
- * come back.
+ * One team sends five times its rate to members with two slots and 1 ms of work per statement.
+ * Guards against starving a team within its rate: it has to get at least 85 % of what it gets
+ * alone, and the excess of the first team has to be refused at once, with a time to retry after.
  */
 static void test_no_team_crowds_out_another(void)
 {
@@ -202,16 +213,17 @@
 		.vms = 3,
 		.work_us = 1000,
 		.routes = TEAM("clerks", "100", "50") TEAM("monday", "150", "100") HARNESS_ROUTES});
-	struct writer quiet = {.pause_us = 10000}, alone = {.pause_us = 10000}, busy[BUSY];
+	struct writer quiet = {.pause_us = 10000}, alone = {.pause_us = 10000}, busy[BUSY_SESSIONS];
 	char *key = fleet_create_key(f, "monday");
 	int i, refused = 0, acked = 0;
 
-	CHECK(wait_until(share_whole, f, NULL, 10000), "the rate is not given out");
+	CHECK(wait_until(rate_distributed, f, NULL, 10000),
+	      "the rate is not distributed over the VMs");
 	writer_start(&alone, f, 0, "alone");
 	test_sleep_ms(3000);
 	writer_stop(&alone);
 	memset(busy, 0, sizeof(busy));
-	for (i = 0; i < BUSY; i++) {
+	for (i = 0; i < BUSY_SESSIONS; i++) {
 		char prefix[16];
 
 		snprintf(prefix, sizeof(prefix), "b%d", i);
@@ -224,14 +236,15 @@
 	writer_start(&quiet, f, 0, "quiet");
 	test_sleep_ms(3000);
 	writer_stop(&quiet);
-	for (i = 0; i < BUSY; i++)
+	for (i = 0; i < BUSY_SESSIONS; i++)
 		busy[i].stop = 1;
-	for (i = 0; i < BUSY; i++) {
+	for (i = 0; i < BUSY_SESSIONS; i++) {
 		writer_stop(&busy[i]);
 		refused += busy[i].over_rate;
 		acked += busy[i].acked;
 	}
-	printf("the quiet team: %d alone, %d beside Monday (longest wait %ld ms); Monday: %d "
+	printf("team within its rate: %d alone, %d beside the busy team (longest wait %ld ms); "
+	       "busy team: %d "
 	       "served, %d refused\n",
 	       alone.acked, quiet.acked, (long)(quiet.wait_max_us / 1000), acked, refused);
 	CHECK(quiet.acked >= alone.acked * 85 / 100, "%d of %d", quiet.acked, alone.acked);
--- a/tests/test-it-restore.c
+++ b/tests/test-it-restore.c
@@ -1,22 +1,28 @@
-/** @file test-it-restore.c The platform's store comes back from an older copy of itself. */
+/** @file test-it-restore.c Restores of the platform's store from an older copy of itself. */
 #include "harness-line.h"
 #include "harness-writer.h"
 
 #include <signal.h>
 #include <string.h>
 
-/** The users' bound between the store's acknowledgement and a configuration in force. */
-#define CONF_DEADLINE_MS 3000
-/** Documents that the store acknowledges and then has only as one, at a lower revision. */
+/** A configuration has to be in force within this time after the store acknowledged it. */
+#define CONF_TIMEOUT_MS 3000
+/**
+ * Number of documents that the store acknowledges and that the restore loses. The document written
+ * after the restore then has a lower revision than those.
+ */
 #define LOST_DOCUMENTS 4
-/** A lease, a change of primary, and room. */
-#define SERVED_MS 25000
-/** After a restore, until the operators have written again. */
-#define REWRITE_MS 2000
+/** Covers the expiry of a lease and a change of primary, with some margin. */
+#define FAILOVER_TIMEOUT_MS 25000
+/** Time between a restore and the operators' repeated write of their document. */
+#define REWRITE_DELAY_MS 2000
 #define NEW_KEY "u3f1other"
 
-/** Whether each VM answers START with @a key as @a accepted says, within @a ms. */
-static bool keys_in_force(struct line_fleet *f, const char *key, bool accepted, int ms)
+/**
+ * Waits up to @a ms until every VM accepts @a key, or refuses it if @a accepted is false.
+ * @return whether they do
+ */
+static bool key_state_in_force(struct line_fleet *f, const char *key, bool accepted, int ms)
 {
 	int64_t until = test_now_ms() + ms;
 	int i, as_expected = 0;
@@ -35,8 +41,8 @@
 	return as_expected == f->n_vms;
 }
 
-/** Whether any VM opens a session with @a key within @a ms. */
-static bool key_served(struct line_fleet *f, const char *key, int ms)
+/** Returns whether any VM accepts @a key within @a ms. */
+static bool key_accepted(struct line_fleet *f, const char *key, int ms)
 {
 	int64_t until = test_now_ms() + ms;
 	struct line_client c;
@@ -53,7 +59,10 @@
 	return served;
 }
 
-/* Guards against confirmed configurations being discarded as old after revisions went back. */
+/*
+ * The store is restored from a copy, so its revisions go back. Guards against a new configuration
+ * that is acknowledged by the store but discarded as old by the VMs.
+ */
 static void test_a_configuration_after_a_restore_is_in_force(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
@@ -64,40 +73,44 @@
 		line_write_document(f);
 	f->keys = "[\"" LINE_KEY "\",\"" NEW_KEY "\"]";
 	line_write_document(f);
-	CU_ASSERT_TRUE(keys_in_force(f, NEW_KEY, true, CONF_DEADLINE_MS));
+	CU_ASSERT_TRUE(key_state_in_force(f, NEW_KEY, true, CONF_TIMEOUT_MS));
 	line_fault(f, "{\"restore\":0}");
 	f->keys = "[\"" NEW_KEY "\"]";
 	line_write_document(f);
-	CHECK(keys_in_force(f, LINE_KEY, false, CONF_DEADLINE_MS), "a revoked key is served");
-	CHECK(keys_in_force(f, NEW_KEY, true, CONF_DEADLINE_MS), "a key is lost");
+	CHECK(key_state_in_force(f, LINE_KEY, false, CONF_TIMEOUT_MS), "a revoked key is accepted");
+	CHECK(key_state_in_force(f, NEW_KEY, true, CONF_TIMEOUT_MS), "a valid key is refused");
 	line_fleet_stop(f);
 }
 
-/** A change of primary: the present one goes dark, and another leads. */
-static void change_primary(struct line_fleet *f, char before[32])
+/** Makes the primary stop answering and waits until another member serves writes. */
+static void force_failover(struct line_fleet *f, char old_primary[32])
 {
-	line_primary(f, before);
-	line_fault(f, "{\"member\":\"%s\",\"mode\":\"dark\"}", before);
-	CHECK(line_wait_until_writable(f, 2, SERVED_MS), "no primary after %s", before);
+	line_primary(f, old_primary);
+	line_fault(f, "{\"member\":\"%s\",\"mode\":\"dark\"}", old_primary);
+	CHECK(line_wait_until_writable(f, 2, FAILOVER_TIMEOUT_MS),
+	      "no new primary after %s stopped answering", old_primary);
 }
 
-/* Guards against a replaced primary being believed, and a fencing token going back. */
+/*
+ * The store is restored from a copy made before a change of primary. Guards against using the
+ * replaced primary again, and against a fencing token that goes back.
+ */
 static void test_a_change_of_primary_outlasts_a_restore(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
-	char first[32], second[32];
+	char first_primary[32], second_primary[32];
 	struct line_writer w[2];
 	int i;
 
 	for (i = 0; i < 2; i++)
 		line_writer_start(&w[i], f, i);
 	line_fault(f, "{\"copy\":1}");
-	change_primary(f, first);
+	force_failover(f, first_primary);
 	line_fault(f, "{\"restore\":0}");
-	line_fault(f, "{\"member\":\"%s\",\"mode\":\"up\"}", first);
-	CHECK(line_wait_until_writable(f, 2, SERVED_MS), "not served after the restore");
-	change_primary(f, second);
-	line_fault(f, "{\"member\":\"%s\",\"mode\":\"up\"}", second);
+	line_fault(f, "{\"member\":\"%s\",\"mode\":\"up\"}", first_primary);
+	CHECK(line_wait_until_writable(f, 2, FAILOVER_TIMEOUT_MS), "not served after the restore");
+	force_failover(f, second_primary);
+	line_fault(f, "{\"member\":\"%s\",\"mode\":\"up\"}", second_primary);
 	test_sleep_ms(1000);
 	for (i = 0; i < 2; i++)
 		line_writer_stop(&w[i]);
@@ -107,7 +120,11 @@
 	line_fleet_stop(f);
 }
 
-/* Guards against VMs whose leases and groups the store has lost going on without, or for ever. */
+/*
+ * The store is restored from a copy made before the VMs restarted, so it lacks their leases and
+ * their groups. Guards against VMs that continue as owners without a lease, and against VMs that
+ * never serve again.
+ */
 static void test_vms_that_the_store_lost_serve_again(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
@@ -119,19 +136,23 @@
 		line_vm_signal(f, i, SIGKILL);
 	for (i = 0; i < 3; i++)
 		line_vm_start(f, i);
-	CHECK(line_wait_until_writable(f, 0, SERVED_MS), "not served after the restart");
+	CHECK(line_wait_until_writable(f, 0, FAILOVER_TIMEOUT_MS), "not served after the restart");
 	line_writer_start(&w, f, 1);
 	line_fault(f, "{\"restore\":0}");
 	test_sleep_ms(1000);
 	for (i = 0; i < 3; i++)
-		CHECK(line_wait_until_writable(f, i, SERVED_MS), "vm%d", i);
+		CHECK(line_wait_until_writable(f, i, FAILOVER_TIMEOUT_MS), "vm%d", i);
 	line_writer_stop(&w);
 	CU_ASSERT_EQUAL(line_report(f, "replaced_commits"), 0);
 	CU_ASSERT_EQUAL(line_report(f, "promotions"), 0);
 	line_fleet_stop(f);
 }
 
-/* Guards against a configuration of before being in force until operators have written again. */
+/*
+ * The store is restored from a copy with an older configuration, which stays in the store until the
+ * operators write the present one again. Guards against the older configuration being in force
+ * meanwhile, which would accept a revoked key.
+ */
 static void test_an_older_configuration_does_not_return(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
@@ -139,10 +160,10 @@
 	line_fault(f, "{\"copy\":1}");
 	f->keys = "[\"" NEW_KEY "\"]";
 	line_write_document(f);
-	CU_ASSERT_TRUE(keys_in_force(f, LINE_KEY, false, CONF_DEADLINE_MS));
-	line_fault(f, "{\"restore\":%d}", REWRITE_MS);
-	CHECK(!key_served(f, LINE_KEY, REWRITE_MS * 2), "a revoked key is served");
-	CHECK(keys_in_force(f, NEW_KEY, true, CONF_DEADLINE_MS), "a key is lost");
+	CU_ASSERT_TRUE(key_state_in_force(f, LINE_KEY, false, CONF_TIMEOUT_MS));
+	line_fault(f, "{\"restore\":%d}", REWRITE_DELAY_MS);
+	CHECK(!key_accepted(f, LINE_KEY, REWRITE_DELAY_MS * 2), "a revoked key is accepted");
+	CHECK(key_state_in_force(f, NEW_KEY, true, CONF_TIMEOUT_MS), "a valid key is refused");
 	line_fleet_stop(f);
 }
 
--- a/tests/test-it-session.c
+++ b/tests/test-it-session.c
@@ -1,6 +1,7 @@
 /**
- * @file test-it-session.c What a session sees: its own writes, through any VM, with replicas
- * behind; transactions.
+ * @file test-it-session.c
+ * Session consistency, which lets a session read its own writes through any VM while replicas lag
+ * behind, and transactions.
  */
 #include "harness.h"
 
@@ -9,7 +10,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *token_of(PGconn *c)
+/** Returns the session token that the server reported on @a c, or "". */
+static const char *session_token(PGconn *c)
 {
 	const char *t = PQparameterStatus(c, "mangoloom.session");
 
@@ -17,10 +19,10 @@
 }
 
 /**
- * Write through one VM and read through another with the token. @return how many reads lacked the
- * write
+ * Writes @a n times through VM 0 and reads each write through VM 1, which knows only the session
+ * token. @return the number of reads that lacked the write
  */
-static int roam(struct test_fleet *f, const char *kind, int n, const char *prefix)
+static int count_stale_reads(struct test_fleet *f, const char *kind, int n, const char *prefix)
 {
 	char options[128], value[64], wanted[64];
 	PGconn *w = fleet_connect_orders(f, 0), *r;
@@ -33,15 +35,16 @@
 
 		snprintf(wanted, sizeof(wanted), "value-%d", i);
 		/*
-		 * Now and then the home's last look at the replica is old, and only the answer
-		 * itself can tell.
+		 * Every fifth write waits until the last probe of the replica by its home, the
+		 * daemon that holds its connections, is old. Only the log position in the answer
+		 * then shows that the replica lags.
 		 */
 		if (i % 5 == 4)
 			test_sleep_ms(170);
 		state = sql(w, NULL, 0, "INSERT INTO orders VALUES ('%s-%d', '%s')", prefix, i,
 			    wanted);
 		CHECK(strcmp(state, "00000") == 0, "%s", state);
-		sql(r, NULL, 0, "SET mangoloom.session = '%s'", token_of(w));
+		sql(r, NULL, 0, "SET mangoloom.session = '%s'", session_token(w));
 		if (i % 5 == 3)
 			test_sleep_ms(60);
 		state = sql(r, value, sizeof(value), "SELECT value FROM orders WHERE key = '%s-%d'",
@@ -54,6 +57,7 @@
 	return stale;
 }
 
+/** Returns the number of reads that replicas served, over all VMs. */
 static int64_t replica_reads(struct test_fleet *f)
 {
 	int64_t sum = 0;
@@ -65,20 +69,24 @@
 }
 
 /*
- * A clerk writes through one VM and reads through another, which knows only the token. Replicas
- * show writes two seconds late. The read waits for nobody and lacks nothing: the answer's own
- * position is checked, and the primary serves.
+ * A caller writes through one VM and reads through another, which knows only the session token.
+ * Replicas apply writes two seconds late. Guards against stale reads: the log position in a
+ * replica's answer is checked, and the read goes to the primary instead of waiting for the replica.
  */
 static void test_reads_own_writes_with_replicas_far_behind(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 2000});
 
-	CHECK(roam(f, "own", 50, "a") == 0, "stale reads");
-	CHECK(roam(f, "page", 50, "b") == 0, "stale reads of a kind that accepts old data");
+	CHECK(count_stale_reads(f, "own", 50, "a") == 0, "stale reads");
+	CHECK(count_stale_reads(f, "page", 50, "b") == 0,
+	      "stale reads of a kind that accepts old data");
 	fleet_tear_down(f);
 }
 
-/* With replicas close behind, they serve most of what they may; still nothing is stale. */
+/*
+ * Replicas lag by 10 ms only. Guards against reads that go to the primary although a replica may
+ * serve them, and still against stale reads.
+ */
 static void test_replicas_serve_what_they_may(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 10});
@@ -87,20 +95,20 @@
 	int64_t by_replica;
 	int i;
 
-	CHECK(roam(f, "own", 50, "a") == 0, "stale reads");
+	CHECK(count_stale_reads(f, "own", 50, "a") == 0, "stale reads");
 	c = fleet_connect(f, 2, "clerks", f->key, "-c mangoloom.kind=page");
 	by_replica = replica_reads(f);
 	for (i = 0; i < 100; i++)
 		sql(c, value, sizeof(value), "SELECT value FROM orders WHERE key = 'a-1'");
 	by_replica = replica_reads(f) - by_replica;
-	CHECK(by_replica >= 90, "%ld of 100", (long)by_replica);
+	CHECK(by_replica >= 90, "%ld of 100 reads served by replicas", (long)by_replica);
 	PQfinish(c);
 	fleet_tear_down(f);
 }
 
 /*
- * A page accepts data of 500 ms; replicas are three seconds behind. The age is measured, so none of
- * them may serve.
+ * Reads accept data up to 500 ms old, and replicas lag by three seconds. Guards against a replica
+ * that serves such a read because its staleness is assumed instead of measured.
  */
 static void test_age_is_measured(void)
 {
@@ -123,7 +131,10 @@
 	fleet_tear_down(f);
 }
 
-/* The same connection, without showing any token, reads what it wrote, in every kind. */
+/*
+ * Guards against a connection that does not read its own writes when the caller does not set a
+ * session token, whatever the kind of the read.
+ */
 static void test_own_connection_remembers(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 2000});
@@ -142,7 +153,10 @@
 	fleet_tear_down(f);
 }
 
-/* The primary is killed between the write and the read: the token still leads to the write. */
+/*
+ * The primary is killed between a write and the read with its session token. Guards against a read
+ * that lacks the write after the promotion.
+ */
 static void test_reads_own_write_across_a_promotion(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 500});
@@ -153,7 +167,7 @@
 	sql(w, NULL, 0, "INSERT INTO orders VALUES ('last', 'order')");
 	fleet_member_signal(f, fleet_primary(f), SIGKILL);
 	r = fleet_connect(f, 1, "clerks", f->key, "-c mangoloom.kind=own");
-	sql(r, NULL, 0, "SET mangoloom.session = '%s'", token_of(w));
+	sql(r, NULL, 0, "SET mangoloom.session = '%s'", session_token(w));
 	state = sql(r, value, sizeof(value), "SELECT value FROM orders WHERE key = 'last'");
 	CHECK(strcmp(state, "00000") == 0 && strcmp(value, "order") == 0, "%s %s", state, value);
 	PQfinish(w);
@@ -162,8 +176,9 @@
 }
 
 /*
- * With confirm = "primary", a promotion may discard the last writes. The session whose token names
- * one is told so, once, and never shown the past in silence.
+ * With confirm = "primary", a promotion may discard the last acknowledged writes. Guards against
+ * hiding this from a session whose token names a discarded write: its next read has to fail with
+ * 55000, once.
  */
 static void test_lost_write_is_told(void)
 {
@@ -173,12 +188,12 @@
 	const char *state;
 	int primary = fleet_primary(f), i;
 
-	/* The replicas no longer hear from the primary; its home and callers do. */
+	/* Replication from the primary is blocked; its home and callers still reach it. */
 	for (i = 0; i < 3; i++)
 		fleet_fault(f, "hold %s -db", f->member[primary].name);
 	state = sql(w, NULL, 0, "INSERT INTO orders VALUES ('gone', 'x')");
 	CHECK(strcmp(state, "00000") == 0, "%s", state);
-	g_strlcpy(token, token_of(w), sizeof(token));
+	g_strlcpy(token, session_token(w), sizeof(token));
 	fleet_member_signal(f, primary, SIGKILL);
 	r = fleet_connect(f, 1, "clerks", f->key, "-c mangoloom.kind=own");
 	sql(r, NULL, 0, "SET mangoloom.session = '%s'", token);
@@ -212,7 +227,7 @@
 	sql(a, NULL, 0, "ROLLBACK");
 	sql(b, value, sizeof(value), "SELECT value FROM orders WHERE key = 't2'");
 	CHECK(strcmp(value, "none") == 0, "after the rollback: %s", value);
-	/* An error ends the transaction as PostgreSQL does it. */
+	/* After an error the transaction is aborted until it ends, as in PostgreSQL. */
 	sql(a, NULL, 0, "BEGIN");
 	CHECK(strcmp(sql(a, NULL, 0, "NONSENSE"), "42601") == 0, "nonsense");
 	CHECK(PQtransactionStatus(a) == PQTRANS_INERROR, "status");
@@ -221,7 +236,8 @@
 	sql(a, NULL, 0, "COMMIT");
 	CHECK(PQtransactionStatus(a) == PQTRANS_IDLE, "status");
 	/*
-	 * Control inside a query of several statements would run the rest outside any transaction.
+	 * A COMMIT within a query of several statements is refused: it would run the statements
+	 * after it outside any transaction.
 	 */
 	CHECK(strcmp(sql(a, NULL, 0, "INSERT INTO orders VALUES ('t4', 'a'); COMMIT; SELECT 1"),
 		     "0A000") == 0,
@@ -231,6 +247,7 @@
 	fleet_tear_down(f);
 }
 
+/** Returns whether no running VM has an open transaction. */
 static bool no_transactions(struct test_fleet *f, void *arg)
 {
 	int i;
@@ -243,8 +260,9 @@
 }
 
 /*
- * A caller vanishes inside a transaction; then an entry VM dies inside one. Both are rolled back,
- * their connections serve others, and none of their statements shows in anybody else's transaction.
+ * A caller disconnects inside a transaction, then an entry VM is killed inside one. Guards against
+ * transactions that stay open and keep their connection, and against statements of theirs that
+ * become part of another session's transaction.
  */
 static void test_transactions_end_with_their_caller_or_vm(void)
 {
@@ -278,8 +296,9 @@
 }
 
 /*
- * Transactions keep all connections that they may; single statements still pass on the last one,
- * and one more BEGIN waits until a transaction ends.
+ * Transactions hold all connections that they may hold. Guards against single statements that
+ * cannot run, since the last connection is reserved for them, and against a further BEGIN that does
+ * not wait until a transaction ends.
  */
 static void test_last_connection(void)
 {
--- a/tests/test-it-soak.c
+++ b/tests/test-it-soak.c
@@ -1,9 +1,9 @@
 /**
  * @file test-it-soak.c
- * Random faults, in series and overlapping, while callers write and read back. Processes are
- * paused, killed and started again; connections are silenced, cut one way, reset and delayed by a
- * proxy; the store and the members misbehave. SOAK_SEEDS="FIRST COUNT" plays other seeds, SOAK_S
- * another length.
+ * Random faults, sequential and overlapping, while callers write and read back. Processes are
+ * paused, killed and restarted; a proxy silences, resets and delays connections or blocks one
+ * direction; the store and the members return errors. The environment variable
+ * SOAK_SEEDS="FIRST COUNT" selects other seeds, SOAK_S another duration of each seed in seconds.
  */
 #include "harness-line.h"
 #include "harness-writer.h"
@@ -15,18 +15,21 @@
 #include <sys/wait.h>
 
 #define VMS 3
-/** Faults of one seed come for so long. */
-#define SOAK_S 8
-/** After the last fault everything serves again: a lease, a change of primary, and room. */
-#define RECOVERY_MS 25000
-/** Pause after a fault of one kind of target before the next of that kind. */
+/** Duration of the faults of one seed. */
+#define SEED_DURATION_S 8
+/** Covers the expiry of a lease and a change of primary after the last fault, with some margin. */
+#define RECOVERY_TIMEOUT_MS 25000
+/** Bounds of the pause between two faults of the same kind of target. */
 #define PAUSE_MIN_MS 300
 #define PAUSE_MAX_MS 1500
-#define EVACUATION_SEEDS 1000000
-
-#define RESTORE_SEEDS 2000000
-/** After a restore, until operators and members have written again. */
-#define REWRITE_MAX_MS 2000
+/**
+ * Evacuations and restores have random sequences of their own, seeded with these offsets, so that
+ * the other faults of a seed do not depend on them.
+ */
+#define EVACUATION_SEED_OFFSET 1000000
+#define RESTORE_SEED_OFFSET 2000000
+/** Longest time between a restore and the repeated writes of operators and members. */
+#define REWRITE_DELAY_MAX_MS 2000
 
 struct soak {
 	struct line_fleet *f;
@@ -35,24 +38,25 @@
 
 struct fault {
 	const char *name;
+	/** Begins or ends the fault at the target with the index @a target. */
 	void (*set)(struct soak *s, int target, bool on);
-	int max_ms;
+	int max_ms; /**< upper bound of the random duration */
 	int min_ms;
 };
 
-/* Members */
+/* Faults of members. "mute" and "deaf" block one direction, see faultproxy.c. */
 
 static void member_down(struct soak *s, int i, bool on)
 {
 	line_fault(s->f, "{\"member\":\"m%d\",\"mode\":\"%s\"}", i, on ? "down" : "up");
 }
 
-static void member_dark(struct soak *s, int i, bool on)
+static void member_silent(struct soak *s, int i, bool on)
 {
 	line_fault(s->f, "{\"member\":\"m%d\",\"mode\":\"%s\"}", i, on ? "dark" : "up");
 }
 
-static void member_lags(struct soak *s, int i, bool on)
+static void member_lagging(struct soak *s, int i, bool on)
 {
 	line_fault(s->f, "{\"member\":\"m%d\",\"lag_ms\":%d}", i, on ? 400 : 5);
 }
@@ -72,7 +76,7 @@
 	line_fault(s->f, "{\"member\":\"m%d\",\"busy\":%d}", i, on ? 30 : 0);
 }
 
-static void member_leaves(struct soak *s, int i, bool on)
+static void member_draining(struct soak *s, int i, bool on)
 {
 	line_fault(s->f, "{\"member\":\"m%d\",\"draining\":%s}", i, on ? "true" : "false");
 }
@@ -97,9 +101,9 @@
 	line_proxy_command(s->f, "delay m%d %d", i, on ? 60 : 0);
 }
 
-/* VMs */
+/* Faults of VMs. */
 
-static void vm_pauses(struct soak *s, int i, bool on)
+static void vm_paused(struct soak *s, int i, bool on)
 {
 	line_vm_signal(s->f, i, on ? SIGSTOP : SIGCONT);
 }
@@ -112,13 +116,14 @@
 		line_vm_start(s->f, i);
 }
 
-static void vm_stops(struct soak *s, int i, bool on)
+static void vm_stopping(struct soak *s, int i, bool on)
 {
 	if (on) {
 		line_vm_signal(s->f, i, SIGTERM);
 		return;
 	}
-	CHECK(line_vm_wait(s->f, i, 8000) == 0, "vm%d does not stop", i);
+	CHECK(line_vm_wait(s->f, i, 8000) == 0, "vm%d does not stop with exit code 0 within 8 s",
+	      i);
 	line_vm_start(s->f, i);
 }
 
@@ -137,7 +142,7 @@
 	line_proxy_command(s->f, "delay vm%d %d", i, on ? 40 : 0);
 }
 
-/* The store */
+/* Faults of the store and of the promoter. */
 
 static void store_refuses(struct soak *s, int i, bool on)
 {
@@ -180,26 +185,28 @@
 
 static const struct fault member_faults[] = {
 	{"down", member_down, 3000, 0},
-	{"dark", member_dark, 3000, 0},
-	{"lags", member_lags, 2000, 0},
+	{"dark", member_silent, 3000, 0},
+	{"lags", member_lagging, 2000, 0},
 	{"loses answers", member_loses_answers, 500, 0},
 	{"cuts answers", member_cuts_answers, 500, 0},
 	{"busy", member_busy, 500, 0},
-	{"leaves", member_leaves, 3000, 0},
+	{"leaves", member_draining, 3000, 0},
 	{"mute", member_mute, 3000, 0},
 	{"deaf", member_deaf, 3000, 0},
 	{"reset", member_reset, 1, 0},
 	{"slow", member_slow, 2000, 0},
 };
-static const struct fault vm_faults[] =
-	{
-		{"pauses", vm_pauses, 4000, 0},
-		{"killed", vm_killed, 2000, 0}, /* The grace is 6 s: ended sooner, the other faults
-						   would last until the VM has stopped. */
-		{"stops", vm_stops, 6500, 5500},
-		{"held", vm_held, 3000, 0},
-		{"mute", vm_mute, 3000, 0},
-		{"slow", vm_slow, 2000, 0},
+static const struct fault vm_faults[] = {
+	{"pauses", vm_paused, 4000, 0},
+	{"killed", vm_killed, 2000, 0},
+	/*
+	 * At least 5.5 s, close to the grace period of 6 s: the end of a shorter fault would wait
+	 * for the VM to stop, and the other faults would last for that long.
+	 */
+	{"stops", vm_stopping, 6500, 5500},
+	{"held", vm_held, 3000, 0},
+	{"mute", vm_mute, 3000, 0},
+	{"slow", vm_slow, 2000, 0},
 };
 static const struct fault store_faults[] = {
 	{"refuses", store_refuses, 3000, 0},
@@ -210,14 +217,15 @@
 	{"promotions refused", promotions_refused, 2000, 0},
 };
 
-/** The store is away for a moment, and comes back as it was when the fault began. */
+/** Restores the store, at the end of the fault, to its state at the beginning of the fault. */
 static void store_restored(struct soak *s, int i, bool on)
 {
 	if (on) {
 		line_fault(s->f, "{\"copy\":1}");
 		return;
 	}
-	line_fault(s->f, "{\"restore\":%d}", g_rand_int_range(s->rand_restores, 0, REWRITE_MAX_MS));
+	line_fault(s->f, "{\"restore\":%d}",
+		   g_rand_int_range(s->rand_restores, 0, REWRITE_DELAY_MAX_MS));
 	line_proxy_command(s->f, "reset store");
 }
 
@@ -228,66 +236,75 @@
 	{"evacuated", data_center_evacuated, 3000, 0},
 };
 
-/** A kind of target; one of its faults at a time. */
-struct line_of_faults {
-	const char *what;
+/** The faults of one kind of target, of which one is active at a time. */
+struct fault_schedule {
+	const char *target_kind;
 	const struct fault *faults;
 	unsigned n;
 	int targets;
 	GRand *rand;
-	const struct fault *now;
+	const struct fault *active; /**< NULL between two faults */
 	int target;
-	int64_t next_ms;
+	int64_t next_ms; /**< when the active fault ends or the next one begins */
 };
 
-static int between(struct line_of_faults *l, int from, int to)
+/** Returns a random number from @a from to @a to - 1, or @a from if that range is empty. */
+static int random_between(struct fault_schedule *schedule, int from, int to)
 {
-	return g_rand_int_range(l->rand, from, MAX(to, from + 1));
+	return g_rand_int_range(schedule->rand, from, MAX(to, from + 1));
 }
 
-static void step(struct soak *s, struct line_of_faults *l, int64_t start_ms)
+/** Ends the active fault, or begins a random one, if its time has come. */
+static void update_schedule(struct soak *s, struct fault_schedule *schedule, int64_t start_ms)
 {
-	if (test_now_ms() < l->next_ms)
+	if (test_now_ms() < schedule->next_ms)
 		return;
-	if (l->now != NULL) {
-		l->now->set(s, l->target, false);
-		l->now = NULL;
-		l->next_ms = test_now_ms() + between(l, PAUSE_MIN_MS, PAUSE_MAX_MS);
+	if (schedule->active != NULL) {
+		schedule->active->set(s, schedule->target, false);
+		schedule->active = NULL;
+		schedule->next_ms =
+			test_now_ms() + random_between(schedule, PAUSE_MIN_MS, PAUSE_MAX_MS);
 		return;
 	}
-	l->now = &l->faults[between(l, 0, (int)l->n)];
-	l->target = between(l, 0, l->targets);
-	l->next_ms = test_now_ms() + between(l, l->now->min_ms, l->now->max_ms);
-	printf("%5ld ms: %s %d %s for %ld ms\n", (long)(test_now_ms() - start_ms), l->what,
-	       l->target, l->now->name, (long)(l->next_ms - test_now_ms()));
-	l->now->set(s, l->target, true);
+	schedule->active = &schedule->faults[random_between(schedule, 0, (int)schedule->n)];
+	schedule->target = random_between(schedule, 0, schedule->targets);
+	schedule->next_ms = test_now_ms() + random_between(schedule, schedule->active->min_ms,
+							   schedule->active->max_ms);
+	printf("%5ld ms: %s %d %s for %ld ms\n", (long)(test_now_ms() - start_ms),
+	       schedule->target_kind, schedule->target, schedule->active->name,
+	       (long)(schedule->next_ms - test_now_ms()));
+	schedule->active->set(s, schedule->target, true);
 }
 
-static void play(struct soak *s, int seconds)
+/** Injects faults of all schedules for @a duration_s and ends those that are active then. */
+static void run_faults(struct soak *s, int duration_s)
 {
-	struct line_of_faults lines[] = {
-		{.what = "member",
+	struct fault_schedule schedules[] = {
+		{.target_kind = "member",
 		 .rand = s->rand,
 		 .faults = member_faults,
 		 .n = G_N_ELEMENTS(member_faults),
 		 .targets = LINE_MEMBERS},
-		{.what = "vm",
+		{.target_kind = "vm",
 		 .rand = s->rand,
 		 .faults = vm_faults,
 		 .n = G_N_ELEMENTS(vm_faults),
 		 .targets = VMS},
-		{.what = "store",
+		{.target_kind = "store",
 		 .rand = s->rand,
 		 .faults = store_faults,
 		 .n = G_N_ELEMENTS(store_faults),
 		 .targets = 1},
-		/* Its own numbers: seeds that failed without it play as they did. */
-		{.what = "data centre of member",
+		/*
+		 * Separate random numbers, so that older failing seeds still produce the same
+		 * faults.
+		 */
+		{.target_kind = "data centre of member",
 		 .rand = s->rand_evacuations,
 		 .faults = evacuation_faults,
 		 .n = G_N_ELEMENTS(evacuation_faults),
 		 .targets = LINE_MEMBERS},
-		{.what = "copy of the store",
+		{.target_kind = "copy of the store",
 		 .rand = s->rand_restores,
 		 .faults = restore_faults,
 		 .n = G_N_ELEMENTS(restore_faults),
@@ -296,29 +313,29 @@
 	int64_t start_ms = test_now_ms();
 	unsigned i;
 
-	while (test_now_ms() < start_ms + seconds * 1000) {
-		for (i = 0; i < G_N_ELEMENTS(lines); i++)
-			step(s, &lines[i], start_ms);
+	while (test_now_ms() < start_ms + duration_s * 1000) {
+		for (i = 0; i < G_N_ELEMENTS(schedules); i++)
+			update_schedule(s, &schedules[i], start_ms);
 		test_sleep_ms(10);
 	}
-	for (i = 0; i < G_N_ELEMENTS(lines); i++) {
-		if (lines[i].now != NULL)
-			lines[i].now->set(s, lines[i].target, false);
+	for (i = 0; i < G_N_ELEMENTS(schedules); i++) {
+		if (schedules[i].active != NULL)
+			schedules[i].active->set(s, schedules[i].target, false);
 	}
 }
 
 /**
- * One seed. Callers see delays, refusals and lost connections while it lasts. Nothing that was told
- * as not run may have run, nothing may run twice, a session may not miss its own write, no replaced
- * primary may commit, no token may go back, no daemon may end by itself, and every VM serves writes
- * again after the last fault.
+ * Runs the faults of one seed. Callers may see delays, refusals and lost connections meanwhile.
+ * Checks that no statement reported as not run has run, that none has run twice, that each session
+ * reads its own writes, that no replaced primary commits, that no fencing token goes back, that no
+ * daemon exits by itself, and that every VM serves writes again after the last fault.
  */
-static void soak_seed(unsigned seed, int seconds)
+static void run_seed(unsigned seed, int duration_s)
 {
 	struct soak s = {.f = line_fleet_start_proxied(VMS),
 			 .rand = g_rand_new_with_seed(seed),
-			 .rand_evacuations = g_rand_new_with_seed(seed + EVACUATION_SEEDS),
-			 .rand_restores = g_rand_new_with_seed(seed + RESTORE_SEEDS)};
+			 .rand_evacuations = g_rand_new_with_seed(seed + EVACUATION_SEED_OFFSET),
+			 .rand_restores = g_rand_new_with_seed(seed + RESTORE_SEED_OFFSET)};
 	int failed = (int)CU_get_number_of_failures();
 	struct line_writer w[VMS];
 	int i, status;
@@ -326,14 +343,14 @@
 	printf("seed %u\n", seed);
 	for (i = 0; i < VMS; i++)
 		line_writer_start_read_back(&w[i], s.f, i);
-	play(&s, seconds);
+	run_faults(&s, duration_s);
 	for (i = 0; i < VMS; i++) {
-		CHECK(waitpid(s.f->vm[i].pid, &status, WNOHANG) == 0, "vm%d ended by itself", i);
-		CHECK(line_wait_until_writable(s.f, i, RECOVERY_MS), "vm%d does not serve again",
-		      i);
+		CHECK(waitpid(s.f->vm[i].pid, &status, WNOHANG) == 0, "vm%d exited by itself", i);
+		CHECK(line_wait_until_writable(s.f, i, RECOVERY_TIMEOUT_MS),
+		      "vm%d does not serve writes after the last fault", i);
 	}
 	for (i = 0; i < VMS; i++) {
-		int64_t until = test_now_ms() + RECOVERY_MS;
+		int64_t until = test_now_ms() + RECOVERY_TIMEOUT_MS;
 
 		while (w[i].acked->len <= 20 && test_now_ms() < until)
 			test_sleep_ms(10);
@@ -352,19 +369,20 @@
 }
 
 /**
- * Seeds that failed once. 147: promotions are refused while the primary is silent; back again, it
- * was * itself chosen to be promoted, which changes nothing. 229: a VM that was next in line for a
- * moment went on sending to the next one after the owner was heard again. 5205: a VM that started
- * while the store came back from a copy did not try again to list itself.
+ * Seeds that failed in the past.
+ * 147: promotions were refused while the primary was silent. When the primary answered again, it
+ * was itself chosen for the promotion, which changes nothing. 229: a VM that was briefly next in
+ * line as owner kept sending to the next candidate after the owner was in contact again. 5205: a VM
+ * that started while the store was restored from a copy did not retry to list itself.
  */
-static const unsigned failed_seeds[] = {147, 229, 5205};
+static const unsigned regression_seeds[] = {147, 229, 5205};
 
 static void test_seeds_that_failed(void)
 {
 	unsigned i;
 
-	for (i = 0; i < G_N_ELEMENTS(failed_seeds); i++)
-		soak_seed(failed_seeds[i], SOAK_S);
+	for (i = 0; i < G_N_ELEMENTS(regression_seeds); i++)
+		run_seed(regression_seeds[i], SEED_DURATION_S);
 }
 
 static void test_random_faults(void)
@@ -373,9 +391,9 @@
 	unsigned first = 1, count = 2, i;
 
 	if (seeds != NULL && sscanf(seeds, "%u %u", &first, &count) < 1)
-		printf("SOAK_SEEDS is FIRST COUNT\n");
+		printf("SOAK_SEEDS must be \"FIRST COUNT\"\n");
 	for (i = 0; i < count; i++)
-		soak_seed(first + i, length != NULL ? atoi(length) : SOAK_S);
+		run_seed(first + i, length != NULL ? atoi(length) : SEED_DURATION_S);
 }
 
 static const struct test_case cases[] = {
