--- a/cmd/mangoloom-store.c
+++ b/cmd/mangoloom-store.c
@@ -41,7 +41,7 @@
 			  sizeof(s->commit_id));
 		for (i = 0; i < TABLES; i++)
 			s->table_version[i] = (uint64_t)json_object_get_int_member_with_default(
-				o, table_name((enum table_which)i), 0);
+				o, table_name((enum table_id)i), 0);
 	}
 	g_object_unref(parser);
 }
--- a/cmd/mangoloom-table.c
+++ b/cmd/mangoloom-table.c
@@ -37,13 +37,13 @@
 	t->file[TABLE_POOLS] = cli->opt.pools;
 	for (i = 0; i < TABLES; i++) {
 		t->given[i] = t->file[i] != NULL;
-		if (t->given[i] &&
-		    !table_load(t->file[i], (enum table_which)i, &t->table[i], error))
+		if (t->given[i] && !table_load(t->file[i], (enum table_id)i, &t->table[i], error))
 			return FALSE;
 	}
 	if (t->given[TABLE_ROUTES] && t->given[TABLE_POOLS])
-		return table_check_joined(t->file[TABLE_ROUTES], t->table[TABLE_ROUTES].entries,
-					  t->table[TABLE_POOLS].entries, error);
+		return table_check_pool_references(t->file[TABLE_ROUTES],
+						   t->table[TABLE_ROUTES].entries,
+						   t->table[TABLE_POOLS].entries, error);
 	return TRUE;
 }
 
@@ -90,7 +90,7 @@
 		for (i = 0; i < s->entries->len; i++) {
 			struct conf_entry *old = g_ptr_array_index(s->entries, i);
 
-			if (!table_holds((enum table_which)which, old->kind) ||
+			if (!table_holds((enum table_id)which, old->kind) ||
 			    store_find(t->table[which].entries, old->id) != NULL)
 				continue;
 			g_ptr_array_add(c->removes, old->id);
@@ -113,9 +113,9 @@
 		t->given[TABLE_ROUTES] ? t->table[TABLE_ROUTES].entries : s->entries;
 	const GPtrArray *pools = t->given[TABLE_POOLS] ? t->table[TABLE_POOLS].entries : s->entries;
 
-	return table_check_joined(t->given[TABLE_ROUTES] ? t->file[TABLE_ROUTES]
-							 : t->file[TABLE_POOLS],
-				  routes, pools, error);
+	return table_check_pool_references(t->given[TABLE_ROUTES] ? t->file[TABLE_ROUTES]
+								  : t->file[TABLE_POOLS],
+					   routes, pools, error);
 }
 
 /**
@@ -234,7 +234,7 @@
 	int which;
 
 	for (which = 0; which < TABLES; which++) {
-		if (strcmp(cli->opt.args[0], table_name((enum table_which)which)) == 0)
+		if (strcmp(cli->opt.args[0], table_name((enum table_id)which)) == 0)
 			break;
 	}
 	if (which == TABLES)
@@ -243,7 +243,7 @@
 	s = store_read(cli, &error);
 	if (s == NULL)
 		return cli_fail_error(error);
-	text = table_to_toml(s->entries, (enum table_which)which, s->version);
+	text = table_to_toml(s->entries, (enum table_id)which, s->version);
 	fputs(text, stdout);
 	g_free(text);
 	store_free(s);
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -1,4 +1,4 @@
-/** @file endpoint.c The endpoints for the balancer and for whoever watches this VM. */
+/** @file endpoint.c HTTP endpoints for readiness checks and metrics. */
 #include "endpoint.h"
 
 #include "log.h"
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** A request for either is over in no time; a connection that sends none is closed. */
+/** Idle time after which a connection to an endpoint is closed. */
 #define ENDPOINT_TIMEOUT_S 5
 
 struct endpoints {
--- a/src/endpoint.h
+++ b/src/endpoint.h
@@ -1,7 +1,7 @@
 /**
  * @file endpoint.h
- * Two small HTTP endpoints: whether this VM takes callers, for the balancer, and its counters as
- * text, for whoever watches it.
+ * Two optional HTTP endpoints: a readiness check for the load balancer, which answers 200 while
+ * this VM accepts callers and 503 otherwise, and the counters in Prometheus' text format.
  */
 #ifndef ENDPOINT_H
 #define ENDPOINT_H
--- a/src/entry.c
+++ b/src/entry.c
@@ -114,7 +114,7 @@
 {
 	shares_cancel(&r->admission);
 	if (r->call != NULL)
-		rpc_call_forget(r->call);
+		rpc_call_detach(r->call);
 	event_free(r->timer);
 	r->e->open--;
 	g_free(r);
--- a/src/error.c
+++ b/src/error.c
@@ -1,4 +1,4 @@
-/** @file error.c */
+/** @file error.c The GError domain of mangoloom. */
 #include "error.h"
 
 GQuark ml_error_quark(void)
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -250,7 +250,8 @@
 	char address[ADDRESS_SIZE];
 };
 
-static void heartbeat_make(struct fleet *f, ml_heartbeat *h, struct vm_update *news, ml_news *wire)
+static void heartbeat_make(struct fleet *f, ml_heartbeat *h, struct vm_update *news,
+			   ml_vm_update *wire)
 {
 	unsigned n = peers_collect_updates(&f->peers, news);
 	unsigned i;
@@ -260,7 +261,7 @@
 	h->incarnation = f->peers.self->incarnation;
 	h->conf_version = f->conf->version;
 	h->vms_revision = f->peers.revision;
-	h->news_age_us = (u_quad_t)fleet_conf_age_us(f);
+	h->conf_confirmed_age_us = (u_quad_t)fleet_conf_age_us(f);
 	for (i = 0; i < n; i++) {
 		wire[i].vm = news[i].vm;
 		wire[i].incarnation = news[i].incarnation;
@@ -306,7 +307,7 @@
 	u_int i;
 
 	for (i = 0; i < h->news.news_len; i++) {
-		const ml_news *n = &h->news.news_val[i];
+		const ml_vm_update *n = &h->news.news_val[i];
 		struct vm_update news = {
 			.incarnation = n->incarnation, .seq = n->seq, .dead = n->dead};
 		struct vm *about = peers_find(&f->peers, n->vm);
@@ -324,7 +325,7 @@
 		if (h->conf_version > f->conf->version || should_fetch_list(f, h->vms_revision))
 			fleet_fetch_from(f, vm->address);
 		else if (h->conf_version == f->conf->version && f->conf->version > 0)
-			confirm_conf(f, (int64_t)h->news_age_us);
+			confirm_conf(f, (int64_t)h->conf_confirmed_age_us);
 	}
 	if (changed)
 		fleet_members_changed(f);
@@ -352,7 +353,7 @@
 static void heartbeat_send(struct fleet *f, struct vm *vm)
 {
 	struct vm_update news[PEERS_UPDATES_MAX];
-	ml_news wire[PEERS_UPDATES_MAX];
+	ml_vm_update wire[PEERS_UPDATES_MAX];
 	int64_t timeout = (int64_t)f->service.kernel->settings->heartbeat_ms * USEC_PER_MSEC;
 	struct heartbeat_call *b = g_new0(struct heartbeat_call, 1);
 	ml_heartbeat h;
@@ -386,7 +387,7 @@
 {
 	struct fleet *f = owner;
 	struct vm_update news[PEERS_UPDATES_MAX];
-	ml_news wire[PEERS_UPDATES_MAX];
+	ml_vm_update wire[PEERS_UPDATES_MAX];
 	ml_heartbeat answer;
 
 	heartbeat_process(f, args);
--- a/src/home-commit-status.c
+++ b/src/home-commit-status.c
@@ -25,7 +25,7 @@
 /** A status query to a member of this home, on behalf of any home. */
 struct status_query {
 	struct rpc_request *rq;
-	const ml_fate_args *args;
+	const ml_commit_status_args *args;
 	struct db_conn *db;
 	struct event *timer; /**< ends the query if a frozen member does not answer */
 	bool terminated; /**< the lost connection's backend is terminated, or not on this member */
@@ -33,7 +33,7 @@
 
 static void status_query_end(struct status_query *q, enum commit_status status, struct pos pos)
 {
-	ml_fate_res res = {.fate = status, .pos = {pos.term, pos.lsn}};
+	ml_commit_status_res res = {.fate = status, .pos = {pos.term, pos.lsn}};
 
 	event_free(q->timer);
 	if (q->db != NULL)
@@ -155,7 +155,7 @@
 	struct status_request *a = arg;
 	struct home_job *job = a->job;
 	bool tx = job->args->control == ML_CONTROL_COMMIT;
-	const ml_fate_res *reply = res;
+	const ml_commit_status_res *reply = res;
 	int commit_status = status == RPC_DONE ? reply->fate : COMMIT_STATUS_UNKNOWN;
 
 	if (commit_status == COMMIT_STATUS_COMMITTED) {
@@ -186,7 +186,7 @@
 	struct kernel *k = m->home->service.kernel;
 	uint64_t term;
 	const char *primary = home_primary(m, &term);
-	ml_fate_args args = {0};
+	ml_commit_status_args args = {0};
 	const char *address;
 
 	if (primary[0] == '\0')
@@ -201,14 +201,15 @@
 	args.xid = job->xid;
 	args.backend_pid = job->backend_pid;
 	args.former = m->conf.name;
-	rpc_start(rpc_of(k), address, ML_FATE, &args, STATUS_RPC_TIMEOUT_US, status_received, a);
+	rpc_start(rpc_of(k), address, ML_COMMIT_STATUS, &args, STATUS_RPC_TIMEOUT_US,
+		  status_received, a);
 }
 
 void home_commit_status_start(struct home_job *job)
 {
 	struct status_request *a = g_new0(struct status_request, 1);
 
-	stat_add(STAT_FATES_ASKED, 1);
+	stat_add(STAT_COMMIT_STATUS_QUERIES, 1);
 	job->step = JOB_COMMIT_STATUS;
 	a->job = job;
 	a->timer = event_new(job->m->home->service.kernel->base, -1, 0, status_request_send, a);
--- a/src/home.c
+++ b/src/home.c
@@ -239,7 +239,7 @@
 	rpc_serve(rpc, ML_EXEC, home_exec, h);
 	rpc_serve(rpc, ML_MEMBER, home_member_serve, h);
 	rpc_serve(rpc, ML_ORDER, home_order_serve, h);
-	rpc_serve(rpc, ML_FATE, home_commit_status_serve, h);
+	rpc_serve(rpc, ML_COMMIT_STATUS, home_commit_status_serve, h);
 	rpc_on_closed(rpc, entry_closed, h);
 	fleet_listen(fleet_of(s->kernel), placement_changed, h);
 	h->tick = kernel_every(s->kernel, TICK_US, home_tick, h);
--- a/src/json-text.c
+++ b/src/json-text.c
@@ -1,4 +1,4 @@
-/** @file json-text.c A JSON builder's text. */
+/** @file json-text.c Serialises the JSON document of a JsonBuilder. */
 #include "json-text.h"
 
 char *json_text_take(JsonBuilder *b)
--- a/src/kernel.c
+++ b/src/kernel.c
@@ -1,4 +1,4 @@
-/** @file kernel.c The loop and the registry of services. */
+/** @file kernel.c The event loop, its clock and timers, and the registry of services. */
 #include "kernel.h"
 
 #include "error.h"
@@ -8,30 +8,30 @@
 #include <string.h>
 #include <time.h>
 
-#define DRAIN_CHECK_US (20 * USEC_PER_MSEC)
+#define DRAIN_CHECK_INTERVAL_US (20 * USEC_PER_MSEC)
 
-static int64_t boot_us(void)
+static int64_t boottime_us(void)
 {
 	struct timespec ts;
 
 	/*
-	 * The monotonic clock stands still while a VM is suspended. A lease checked against it
-	 * would still look valid after the wake-up, though another VM has taken it over by then.
+	 * CLOCK_MONOTONIC stops while a VM is suspended. A lease checked against it would still
+	 * seem valid after the VM resumes, although another VM may have acquired it meanwhile.
 	 */
 	clock_gettime(CLOCK_BOOTTIME, &ts);
 	return (int64_t)ts.tv_sec * USEC_PER_SEC + ts.tv_nsec / 1000;
 }
 
-static int64_t (*clock_us)(void) = boot_us;
+static int64_t (*clock_source)(void) = boottime_us;
 
 int64_t now_us(void)
 {
-	return clock_us();
+	return clock_source();
 }
 
 void kernel_set_clock(int64_t (*now)(void))
 {
-	clock_us = now != NULL ? now : boot_us;
+	clock_source = now != NULL ? now : boottime_us;
 }
 
 uint64_t random_bits(void)
@@ -61,11 +61,13 @@
 	TAILQ_INSERT_TAIL(&k->services, s, link);
 }
 
-struct service *kernel_look(struct kernel *k, const char *name)
+struct service *kernel_lookup(struct kernel *k, const char *name)
 {
 	struct service *s;
 
-	/* Services are looked for many times a statement, mostly by the very text of their names.
+	/*
+	 * Services are looked up many times per statement, mostly by the same string literal that
+	 * names them: comparing pointers first avoids most calls of strcmp().
 	 */
 	TAILQ_FOREACH(s, &k->services, link) {
 		if (s->ops->name == name)
@@ -80,7 +82,7 @@
 
 struct service *kernel_find(struct kernel *k, const char *name)
 {
-	struct service *s = kernel_look(k, name);
+	struct service *s = kernel_lookup(k, name);
 
 	if (s == NULL)
 		g_error("no service is named %s", name);
@@ -137,7 +139,7 @@
 			s->ops->drain(s);
 	}
 	k->drain_until_us = now_us() + (int64_t)k->settings->drain_ms * USEC_PER_MSEC;
-	k->drain_timer = kernel_every(k, DRAIN_CHECK_US, drain_check, k);
+	k->drain_timer = kernel_every(k, DRAIN_CHECK_INTERVAL_US, drain_check, k);
 }
 
 void kernel_free(struct kernel *k)
--- a/src/kernel.h
+++ b/src/kernel.h
@@ -1,7 +1,7 @@
 /**
  * @file kernel.h
- * The micro-kernel: one event loop and a list of services that find each other by name. A service
- * owns I/O; decisions are made by the modules under decide/.
+ * The micro-kernel: one event loop and a list of services that find each other by name. Services do
+ * the I/O; decisions are made by the modules under decide/, which do none.
  */
 #ifndef KERNEL_H
 #define KERNEL_H
@@ -18,20 +18,20 @@
 
 struct service_ops {
 	const char *name;
-	/** Open what the service needs. Services start in the order in which they were added. */
+	/** Opens the service's resources. Services start in the order in which they were added. */
 	gboolean (*start)(struct service *s, GError **error);
 	/**
-	 * Take no new work. May be NULL. Called in the reverse order of starting: callers first,
-	 * the fleet last.
+	 * Stops accepting work. May be NULL. Services are drained in the order in which they were
+	 * added.
 	 */
 	void (*drain)(struct service *s);
-	/** Whether all work has ended after drain(). May be NULL for always. */
+	/** Returns whether all work has ended after drain(). NULL: always true. */
 	bool (*drained)(struct service *s);
-	/** Free everything. Services stop in the reverse order. */
+	/** Frees the service. Services stop in the reverse order of starting. */
 	void (*stop)(struct service *s);
 };
 
-/** First member of each service. */
+/** Base of each service: the first member of its struct. */
 struct service {
 	const struct service_ops *ops;
 	struct kernel *kernel;
@@ -42,8 +42,8 @@
 struct kernel {
 	struct event_base *base;
 	const struct settings *settings;
-	const struct adapter *adapter; /**< NULL with etcd and PostgreSQL */
-	uint64_t incarnation; /**< random; tells this process from earlier ones on the VM */
+	const struct adapter *adapter; /**< NULL with PLATFORM_ETCD */
+	uint64_t incarnation; /**< random; distinguishes this process from earlier ones on the VM */
 	struct services services;
 	bool draining;
 	struct event *drain_timer;
@@ -52,26 +52,26 @@
 
 struct kernel *kernel_create(const struct settings *settings);
 void kernel_add(struct kernel *k, struct service *s);
-/** @return the service named @a name, NULL when this daemon has none */
-struct service *kernel_look(struct kernel *k, const char *name);
-/** @return the service named @a name; a name that no service has is a broken invariant. */
+/** @return the service named @a name, or NULL if this daemon has none */
+struct service *kernel_lookup(struct kernel *k, const char *name);
+/** @return the service named @a name; aborts if there is none */
 struct service *kernel_find(struct kernel *k, const char *name);
 gboolean kernel_start(struct kernel *k, GError **error);
-/** Run until kernel_drain() has ended. */
+/** Runs the event loop until the shutdown begun by kernel_drain() is complete. */
 void kernel_run(struct kernel *k);
-/** Begin the graceful shutdown: drain the services, then leave the loop. */
+/** Begins the graceful shutdown: drains the services, then leaves the loop. */
 void kernel_drain(struct kernel *k);
 void kernel_free(struct kernel *k);
 
-/** Monotonic microseconds, which also pass while the VM is suspended. */
+/** @return monotonic time in microseconds, including time while the VM was suspended */
 int64_t now_us(void);
-/** Take the time from @a now, for a test that plays it; NULL: from the system again. */
+/** Makes now_us() call @a now, for tests with simulated time; NULL: the system clock. */
 void kernel_set_clock(int64_t (*now)(void));
-/** 64 random bits. */
+/** @return 64 random bits from a cryptographic generator */
 uint64_t random_bits(void);
-/** A persistent timer that calls @a cb every @a us; freed by the caller. */
+/** @return a persistent timer that calls @a cb every @a us; free with event_free() */
 struct event *kernel_every(struct kernel *k, int64_t us, event_callback_fn cb, void *arg);
-/** Arm the one-shot @a timer for @a us from now. */
+/** Arms @a timer to fire in @a us; a one-shot timer fires once. */
 void kernel_arm(struct event *timer, int64_t us);
 
 #endif
--- a/src/key.c
+++ b/src/key.c
@@ -1,4 +1,4 @@
-/** @file key.c Team keys, by libsodium. */
+/** @file key.c API keys of teams, by libsodium. */
 #include "key.h"
 
 #include <sodium.h>
@@ -6,8 +6,8 @@
 
 #define KEY_PREFIX "mlk_"
 #define KEY_ID_BYTES 6
-/** Of a key that carries no id: the first bytes of its hash. */
-#define KEY_ID_OF_HASH_BYTES 16
+/** Leading bytes of the hash that form the id of a key without one. */
+#define KEY_DERIVED_ID_BYTES 16
 #define KEY_SECRET_BYTES 24
 
 void key_create(const char *team, struct conf_key *key, char *text)
@@ -47,7 +47,7 @@
 	memset(key, 0, sizeof(*key));
 	g_strlcpy(key->team, team, sizeof(key->team));
 	key_hash(text, key->hash);
-	sodium_bin2hex(key->id, sizeof(key->id), key->hash, KEY_ID_OF_HASH_BYTES);
+	sodium_bin2hex(key->id, sizeof(key->id), key->hash, KEY_DERIVED_ID_BYTES);
 }
 
 void key_hash(const char *text, unsigned char hash[KEY_HASH_SIZE])
--- a/src/log.c
+++ b/src/log.c
@@ -1,8 +1,8 @@
 /**
  * @file log.c
- * Structured logging. Lines are gathered and written out by log_flush(), from the loop; a reader
- * that does not read, or a flood of events, costs lines and never time: what does not fit is
- * counted and told in the next line that does.
+ * Structured logging. Lines are buffered and written by log_flush(), which the event loop calls.
+ * Logging never blocks: if the reader of the log is too slow or events exceed their rate limit,
+ * lines are dropped and counted, and a log-left-out event reports the counts once lines fit again.
  */
 #include "log.h"
 
@@ -17,23 +17,24 @@
 
 #define LOG_FIELDS_MAX 24
 #define LOG_NUMBER_SIZE 24
-/** Bytes that wait to be written, at most: some seconds of a busy daemon's lines. */
-#define LOG_BUFFER_MAX (512 * 1024)
-/** Bytes that make a flush worth its system call before the next one is due. */
+/** Limit of buffered output: holds a few seconds of a busy daemon's lines. */
+#define LOG_BUFFER_MAX_BYTES (512 * 1024)
+/** Buffered output above which lines are flushed at once instead of by the next timer. */
 #define LOG_FLUSH_BYTES (32 * 1024)
-/** A pipe takes a write of up to PIPE_BUF bytes whole or not at all, so lines stay together. */
-#define LOG_WRITE_BYTES PIPE_BUF
+/** Writes of up to PIPE_BUF bytes to a pipe are atomic, so lines are never split. */
+#define LOG_WRITE_MAX_BYTES PIPE_BUF
 /**
- * Lines a second, by kind. A daemon serves some hundred statements a second on a quarter of a core,
- * and a line costs about 3 us: 1,500 of them are under half a per cent. Refusals and changes of
- * belief have a budget of their own, so that successes never crowd them out.
+ * Rate limits in lines per second, by kind. A daemon serves a few hundred statements per second on
+ * a quarter of a core, and a line costs about 3 us: 1,500 lines take less than 0.5% of a core.
+ * Refused statements and state changes are limited separately from successes, so that a flood of
+ * successes never suppresses them.
  */
 #define LOG_ROUTINE_PER_S 600
 #define LOG_EVENTS_PER_S 1500
-/** Lines that tell how many others were left out. */
-#define LOG_OWN_PER_S 10
+/** Limit of lines that report how many others were dropped. */
+#define LOG_DROP_REPORTS_PER_S 10
 
-enum log_kind { LOG_KIND_ROUTINE, LOG_KIND_EVENT, LOG_KIND_OWN, LOG_KINDS };
+enum log_kind { LOG_KIND_ROUTINE, LOG_KIND_EVENT, LOG_KIND_DROP_REPORT, LOG_KINDS };
 
 static struct {
 	int fd;
@@ -41,16 +42,16 @@
 	GLogLevelFlags threshold;
 	char vm[64];
 	GString *out;
-	time_t second; /**< that the budgets and the text below are of */
+	time_t second; /**< the second that second_text and the line counts belong to */
 	char second_text[32];
 	unsigned lines[LOG_KINDS];
-	uint64_t left_out[LOG_KINDS];
+	uint64_t dropped[LOG_KINDS];
 } log_state = {.fd = STDERR_FILENO, .threshold = G_LOG_LEVEL_INFO};
 
-static const unsigned budgets[LOG_KINDS] = {
+static const unsigned limits_per_s[LOG_KINDS] = {
 	[LOG_KIND_ROUTINE] = LOG_ROUTINE_PER_S,
 	[LOG_KIND_EVENT] = LOG_EVENTS_PER_S,
-	[LOG_KIND_OWN] = LOG_OWN_PER_S,
+	[LOG_KIND_DROP_REPORT] = LOG_DROP_REPORTS_PER_S,
 };
 
 static const struct {
@@ -99,8 +100,8 @@
 	put_json_string(out, s);
 }
 
-/** A new second: its text, and new budgets. */
-static void log_second(time_t second)
+/** Begins a new second: formats its timestamp and resets the rate limits. */
+static void start_second(time_t second)
 {
 	struct tm tm;
 
@@ -110,7 +111,7 @@
 	strftime(log_state.second_text, sizeof(log_state.second_text), "%Y-%m-%dT%H:%M:%S", &tm);
 }
 
-static void put_head(GString *out, GLogLevelFlags level, suseconds_t us)
+static void put_prefix(GString *out, GLogLevelFlags level, suseconds_t us)
 {
 	char fraction[] = ".000000Z";
 	int i;
@@ -147,12 +148,12 @@
 	put_text_string(out, value);
 }
 
-static void put_end(GString *out)
+static void put_line_end(GString *out)
 {
 	g_string_append(out, log_state.format == LOG_JSON ? "}\n" : "\n");
 }
 
-/** Begin a line of @a kind. @return false when it has to be left out. */
+/** Begins a line of @a kind. @return false if it is dropped by the rate limit or a full buffer */
 static bool line_begin(GLogLevelFlags level, enum log_kind kind)
 {
 	struct timeval tv;
@@ -161,37 +162,38 @@
 		log_state.out = g_string_sized_new(LOG_FLUSH_BYTES * 2);
 	gettimeofday(&tv, NULL);
 	if (tv.tv_sec != log_state.second)
-		log_second(tv.tv_sec);
-	if (log_state.out->len > LOG_BUFFER_MAX || log_state.lines[kind] >= budgets[kind]) {
-		log_state.left_out[kind]++;
+		start_second(tv.tv_sec);
+	if (log_state.out->len > LOG_BUFFER_MAX_BYTES ||
+	    log_state.lines[kind] >= limits_per_s[kind]) {
+		log_state.dropped[kind]++;
 		return false;
 	}
 	log_state.lines[kind]++;
-	put_head(log_state.out, level, tv.tv_usec);
+	put_prefix(log_state.out, level, tv.tv_usec);
 	return true;
 }
 
-/** Tell how many lines were left out, as soon as lines fit again. */
-static void tell_left_out(void)
+/** Logs the number of dropped lines once the buffer has room again. */
+static void log_dropped_lines(void)
 {
-	uint64_t routine = log_state.left_out[LOG_KIND_ROUTINE];
-	uint64_t events = log_state.left_out[LOG_KIND_EVENT];
+	uint64_t routine = log_state.dropped[LOG_KIND_ROUTINE];
+	uint64_t events = log_state.dropped[LOG_KIND_EVENT];
 	char number[LOG_NUMBER_SIZE];
 
-	if (routine + events == 0 || log_state.out->len > LOG_BUFFER_MAX / 2)
+	if (routine + events == 0 || log_state.out->len > LOG_BUFFER_MAX_BYTES / 2)
 		return;
-	if (!line_begin(G_LOG_LEVEL_WARNING, LOG_KIND_OWN))
+	if (!line_begin(G_LOG_LEVEL_WARNING, LOG_KIND_DROP_REPORT))
 		return;
-	memset(log_state.left_out, 0, sizeof(log_state.left_out));
+	memset(log_state.dropped, 0, sizeof(log_state.dropped));
 	put_field(log_state.out, "event", "log-left-out", false);
 	g_snprintf(number, sizeof(number), "%lu", routine);
 	put_field(log_state.out, "routine", number, true);
 	g_snprintf(number, sizeof(number), "%lu", events);
 	put_field(log_state.out, "events", number, true);
-	put_end(log_state.out);
+	put_line_end(log_state.out);
 }
 
-/** GLib's writer: messages of the libraries come here. */
+/** Writer function for GLib's log: receives messages of the libraries. */
 static GLogWriterOutput log_write(GLogLevelFlags level, const GLogField *fields, gsize n,
 				  gpointer data)
 {
@@ -203,7 +205,7 @@
 		if (strcmp(fields[i].key, "MESSAGE") == 0)
 			put_field(log_state.out, "message", fields[i].value, false);
 	}
-	put_end(log_state.out);
+	put_line_end(log_state.out);
 	log_flush();
 	return G_LOG_WRITER_HANDLED;
 }
@@ -231,7 +233,10 @@
 	log_state.fd = log_fd(path);
 	if (log_state.fd < 0)
 		return false;
-	/* A pipe whose reader has stopped would block the loop, and with it every caller. */
+	/*
+	 * Non-blocking: a write to a pipe whose reader has stopped would otherwise block the event
+	 * loop, and with it every caller.
+	 */
 	flags = fcntl(log_state.fd, F_GETFL);
 	if (flags >= 0)
 		fcntl(log_state.fd, F_SETFL, flags | O_NONBLOCK);
@@ -245,7 +250,7 @@
 	char number[LOG_NUMBER_SIZE];
 	unsigned i;
 
-	/* GLib's levels grow as they matter less. */
+	/* GLib's log levels are bit flags; less severe levels have higher values. */
 	if (level > log_state.threshold || !line_begin(level, kind))
 		return;
 	put_field(log_state.out, "event", event, false);
@@ -257,7 +262,7 @@
 		g_snprintf(number, sizeof(number), "%ld", (long)fields[i].num);
 		put_field(log_state.out, fields[i].key, number, true);
 	}
-	put_end(log_state.out);
+	put_line_end(log_state.out);
 	if (log_state.out->len > LOG_FLUSH_BYTES || level <= G_LOG_LEVEL_WARNING)
 		log_flush();
 }
@@ -272,12 +277,12 @@
 	log_line(G_LOG_LEVEL_INFO, LOG_KIND_ROUTINE, event, fields, n);
 }
 
-/** Bytes of whole lines at @a at that go out in one write. */
-static size_t chunk(size_t at)
+/** @return the length of the whole lines from @a offset that fit into one atomic write */
+static size_t chunk_len(size_t offset)
 {
-	size_t len = MIN(log_state.out->len - at, LOG_WRITE_BYTES);
+	size_t len = MIN(log_state.out->len - offset, LOG_WRITE_MAX_BYTES);
 
-	while (len > 0 && log_state.out->str[at + len - 1] != '\n')
+	while (len > 0 && log_state.out->str[offset + len - 1] != '\n')
 		len--;
 	return len;
 }
@@ -286,23 +291,24 @@
 {
 	static bool flushing;
 	ssize_t written;
-	size_t at = 0, len;
+	size_t offset = 0, len;
 
 	if (log_state.out == NULL || flushing)
 		return;
 	flushing = true;
-	while ((len = chunk(at)) > 0) {
-		written = write(log_state.fd, log_state.out->str + at, len);
-		/* A reader that is gone for good must not fill the memory: its lines are dropped.
+	while ((len = chunk_len(offset)) > 0) {
+		written = write(log_state.fd, log_state.out->str + offset, len);
+		/* Drops lines that can never be written, so that a closed pipe does not fill the
+		 * buffer.
 		 */
 		if (written < 0 && errno != EAGAIN && errno != EINTR)
 			written = (ssize_t)len;
 		if (written <= 0)
 			break;
-		at += (size_t)written;
+		offset += (size_t)written;
 	}
-	if (at > 0)
-		g_string_erase(log_state.out, 0, (gssize)at);
-	tell_left_out();
+	if (offset > 0)
+		g_string_erase(log_state.out, 0, (gssize)offset);
+	log_dropped_lines();
 	flushing = false;
 }
--- a/src/log.h
+++ b/src/log.h
@@ -1,7 +1,9 @@
 /**
  * @file log.h
- * Structured logs through GLib: one line an event, as text or JSON. No key and no statement is ever
- * a field.
+ * Structured logging: one line per event, as text or JSON. Messages that libraries send to GLib's
+ * log are written as well. No field ever holds an API key or the text of a statement.
+ *
+ * An era counts how often the store came back from an older copy; revisions are logged with it.
  */
 #ifndef LOG_H
 #define LOG_H
@@ -12,7 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** One field of an event; @a str is NULL for a number. */
+/** A field of an event: the text @a str, or the number @a num if @a str is NULL. */
 struct log_field {
 	const char *key;
 	const char *str;
@@ -22,10 +24,10 @@
 #define LOG_STR(k, v) ((struct log_field){.key = (k), .str = (v) != NULL ? (v) : ""})
 #define LOG_NUM(k, v) ((struct log_field){.key = (k), .num = (int64_t)(v)})
 
-/** Two fields: a revision of the store, and its era. */
+/** Expands to two fields: a revision of the store under the key @a k, and its era. */
 #define LOG_REVISION(k, v) LOG_NUM(k, era_number(v)), LOG_NUM("era", era_of(v))
 
-/** Log @a event with fields made by LOG_STR() and LOG_NUM(). */
+/** Logs @a event with fields made by LOG_STR() and LOG_NUM(). */
 #define log_event(level, event, ...)                                                               \
 	log_fields((level), (event), (const struct log_field[]){__VA_ARGS__},                      \
 		   sizeof((const struct log_field[]){__VA_ARGS__}) / sizeof(struct log_field))
@@ -34,7 +36,10 @@
 #define log_info(event, ...) log_event(G_LOG_LEVEL_INFO, event, __VA_ARGS__)
 #define log_debug(event, ...) log_event(G_LOG_LEVEL_DEBUG, event, __VA_ARGS__)
 
-/** Log a routine event, such as a statement that went well: left out first under load. */
+/**
+ * Logs a routine event, such as a statement that succeeded. Routine events have a rate limit of
+ * their own, below that of other events.
+ */
 #define log_routine(event, ...)                                                                    \
 	log_routine_fields((event), (const struct log_field[]){__VA_ARGS__},                       \
 			   sizeof((const struct log_field[]){__VA_ARGS__}) /                       \
@@ -43,14 +48,16 @@
 enum log_format { LOG_TEXT, LOG_JSON };
 
 /**
- * Send logs to @a path, to standard output for "-", or to standard error when it is empty. @return
- * false when it cannot be opened.
+ * Opens the log: the file @a path, standard output for "-", or standard error if @a path is empty.
+ * @param level least severe level that is logged: "error", "warning", "info" or "debug"
+ * @param vm name of this VM, written on each line
+ * @return false if the file cannot be opened
  */
 bool log_open(const char *path, enum log_format format, const char *level, const char *vm);
 void log_fields(GLogLevelFlags level, const char *event, const struct log_field *fields,
 		unsigned n);
 void log_routine_fields(const char *event, const struct log_field *fields, unsigned n);
-/** Write out what is buffered, as far as that does not block. */
+/** Writes buffered lines as far as possible without blocking. */
 void log_flush(void);
 
 #endif
--- a/src/mango.h
+++ b/src/mango.h
@@ -17,7 +17,7 @@
 #define ML_TEXT_MAX 1048576
 #define ML_RESULT_MAX 67108864
 #define ML_PARAMS_MAX 4096
-#define ML_NEWS_MAX 16
+#define ML_VM_UPDATES_MAX 16
 #define ML_TEAMS_MAX 4096
 #define ML_ENTRIES_MAX 65536
 #define ML_TERMS_MAX 8
@@ -32,24 +32,24 @@
 };
 typedef struct ml_pos ml_pos;
 
-struct ml_news {
+struct ml_vm_update {
 	ml_name vm;
 	u_quad_t incarnation;
 	u_quad_t seq;
 	bool_t dead;
 	bool_t leaving;
 };
-typedef struct ml_news ml_news;
+typedef struct ml_vm_update ml_vm_update;
 
 struct ml_heartbeat {
 	ml_name vm;
 	u_quad_t incarnation;
 	u_quad_t conf_version;
 	u_quad_t vms_revision;
-	u_quad_t news_age_us;
+	u_quad_t conf_confirmed_age_us;
 	struct {
 		u_int news_len;
-		ml_news *news_val;
+		ml_vm_update *news_val;
 	} news;
 };
 typedef struct ml_heartbeat ml_heartbeat;
@@ -245,11 +245,11 @@
 };
 typedef struct ml_share_res ml_share_res;
 
-struct ml_poke {
+struct ml_report_request {
 	ml_name team;
 	u_int allocator;
 };
-typedef struct ml_poke ml_poke;
+typedef struct ml_report_request ml_report_request;
 
 struct ml_tokens_args {
 	ml_name team;
@@ -267,20 +267,20 @@
 };
 typedef struct ml_none ml_none;
 
-struct ml_fate_args {
+struct ml_commit_status_args {
 	ml_name pool;
 	ml_name member;
 	ml_name xid;
 	int backend_pid;
 	ml_name former;
 };
-typedef struct ml_fate_args ml_fate_args;
+typedef struct ml_commit_status_args ml_commit_status_args;
 
-struct ml_fate_res {
+struct ml_commit_status_res {
 	int fate;
 	ml_pos pos;
 };
-typedef struct ml_fate_res ml_fate_res;
+typedef struct ml_commit_status_res ml_commit_status_res;
 
 struct ml_value {
 	ml_text name;
@@ -360,7 +360,7 @@
 	bool_t stopped;
 	ml_name primary;
 	ml_pos acknowledged;
-	u_quad_t heard_age_us;
+	u_quad_t last_contact_age_us;
 };
 typedef struct ml_yield_res ml_yield_res;
 
@@ -397,18 +397,18 @@
 #define ML_SHARE 6
 extern  ml_share_res * ml_share_1(ml_share_args *, CLIENT *);
 extern  ml_share_res * ml_share_1_svc(ml_share_args *, struct svc_req *);
-#define ML_FATE 7
-extern  ml_fate_res * ml_fate_1(ml_fate_args *, CLIENT *);
-extern  ml_fate_res * ml_fate_1_svc(ml_fate_args *, struct svc_req *);
+#define ML_COMMIT_STATUS 7
+extern  ml_commit_status_res * ml_commit_status_1(ml_commit_status_args *, CLIENT *);
+extern  ml_commit_status_res * ml_commit_status_1_svc(ml_commit_status_args *, struct svc_req *);
 #define ML_STATUS 8
 extern  ml_status_res * ml_status_1(void *, CLIENT *);
 extern  ml_status_res * ml_status_1_svc(void *, struct svc_req *);
 #define ML_STOP 9
 extern  ml_status_res * ml_stop_1(void *, CLIENT *);
 extern  ml_status_res * ml_stop_1_svc(void *, struct svc_req *);
-#define ML_POKE 10
-extern  ml_none * ml_poke_1(ml_poke *, CLIENT *);
-extern  ml_none * ml_poke_1_svc(ml_poke *, struct svc_req *);
+#define ML_REPORT_REQUEST 10
+extern  ml_none * ml_report_request_1(ml_report_request *, CLIENT *);
+extern  ml_none * ml_report_request_1_svc(ml_report_request *, struct svc_req *);
 #define ML_RUN 11
 extern  ml_run_res * ml_run_1(ml_run_args *, CLIENT *);
 extern  ml_run_res * ml_run_1_svc(ml_run_args *, struct svc_req *);
@@ -445,18 +445,18 @@
 #define ML_SHARE 6
 extern  ml_share_res * ml_share_1();
 extern  ml_share_res * ml_share_1_svc();
-#define ML_FATE 7
-extern  ml_fate_res * ml_fate_1();
-extern  ml_fate_res * ml_fate_1_svc();
+#define ML_COMMIT_STATUS 7
+extern  ml_commit_status_res * ml_commit_status_1();
+extern  ml_commit_status_res * ml_commit_status_1_svc();
 #define ML_STATUS 8
 extern  ml_status_res * ml_status_1();
 extern  ml_status_res * ml_status_1_svc();
 #define ML_STOP 9
 extern  ml_status_res * ml_stop_1();
 extern  ml_status_res * ml_stop_1_svc();
-#define ML_POKE 10
-extern  ml_none * ml_poke_1();
-extern  ml_none * ml_poke_1_svc();
+#define ML_REPORT_REQUEST 10
+extern  ml_none * ml_report_request_1();
+extern  ml_none * ml_report_request_1_svc();
 #define ML_RUN 11
 extern  ml_run_res * ml_run_1();
 extern  ml_run_res * ml_run_1_svc();
@@ -481,7 +481,7 @@
 extern  bool_t xdr_ml_name (XDR *, ml_name*);
 extern  bool_t xdr_ml_text (XDR *, ml_text*);
 extern  bool_t xdr_ml_pos (XDR *, ml_pos*);
-extern  bool_t xdr_ml_news (XDR *, ml_news*);
+extern  bool_t xdr_ml_vm_update (XDR *, ml_vm_update*);
 extern  bool_t xdr_ml_heartbeat (XDR *, ml_heartbeat*);
 extern  bool_t xdr_ml_op (XDR *, ml_op*);
 extern  bool_t xdr_ml_control (XDR *, ml_control*);
@@ -500,12 +500,12 @@
 extern  bool_t xdr_ml_share_args (XDR *, ml_share_args*);
 extern  bool_t xdr_ml_share_order (XDR *, ml_share_order*);
 extern  bool_t xdr_ml_share_res (XDR *, ml_share_res*);
-extern  bool_t xdr_ml_poke (XDR *, ml_poke*);
+extern  bool_t xdr_ml_report_request (XDR *, ml_report_request*);
 extern  bool_t xdr_ml_tokens_args (XDR *, ml_tokens_args*);
 extern  bool_t xdr_ml_tokens_res (XDR *, ml_tokens_res*);
 extern  bool_t xdr_ml_none (XDR *, ml_none*);
-extern  bool_t xdr_ml_fate_args (XDR *, ml_fate_args*);
-extern  bool_t xdr_ml_fate_res (XDR *, ml_fate_res*);
+extern  bool_t xdr_ml_commit_status_args (XDR *, ml_commit_status_args*);
+extern  bool_t xdr_ml_commit_status_res (XDR *, ml_commit_status_res*);
 extern  bool_t xdr_ml_value (XDR *, ml_value*);
 extern  bool_t xdr_ml_run_args (XDR *, ml_run_args*);
 extern  bool_t xdr_ml_run_res (XDR *, ml_run_res*);
@@ -519,7 +519,7 @@
 extern bool_t xdr_ml_name ();
 extern bool_t xdr_ml_text ();
 extern bool_t xdr_ml_pos ();
-extern bool_t xdr_ml_news ();
+extern bool_t xdr_ml_vm_update ();
 extern bool_t xdr_ml_heartbeat ();
 extern bool_t xdr_ml_op ();
 extern bool_t xdr_ml_control ();
@@ -538,12 +538,12 @@
 extern bool_t xdr_ml_share_args ();
 extern bool_t xdr_ml_share_order ();
 extern bool_t xdr_ml_share_res ();
-extern bool_t xdr_ml_poke ();
+extern bool_t xdr_ml_report_request ();
 extern bool_t xdr_ml_tokens_args ();
 extern bool_t xdr_ml_tokens_res ();
 extern bool_t xdr_ml_none ();
-extern bool_t xdr_ml_fate_args ();
-extern bool_t xdr_ml_fate_res ();
+extern bool_t xdr_ml_commit_status_args ();
+extern bool_t xdr_ml_commit_status_res ();
 extern bool_t xdr_ml_value ();
 extern bool_t xdr_ml_run_args ();
 extern bool_t xdr_ml_run_res ();
--- a/src/mango.x
+++ b/src/mango.x
@@ -1,10 +1,18 @@
-/* The protocol between daemons: ONC RPC. `make generate` writes mango.h and mango_xdr.c from this file. */
+/*
+ * The protocol between daemons: ONC RPC. `make generate` writes mango.h and mango_xdr.c from this file.
+ *
+ * Terms: a pool is a database group as configured; a member is one database server of it. The owner is the VM that holds
+ * the connections of a group and manages its primary. The entry is the daemon a caller is connected to, the home is the
+ * daemon that holds the connections and the queue of a member. A session token names the last write that a session
+ * saw acknowledged; its reads must include that write. A once-id is an identifier that the caller gives a write, so that a
+ * repetition of the write is not applied twice.
+ */
 
 const ML_NAME_MAX = 63;
 const ML_TEXT_MAX = 1048576;
 const ML_RESULT_MAX = 67108864;
 const ML_PARAMS_MAX = 4096;
-const ML_NEWS_MAX = 16;
+const ML_VM_UPDATES_MAX = 16;
 const ML_TEAMS_MAX = 4096;
 const ML_ENTRIES_MAX = 65536;
 const ML_TERMS_MAX = 8;
@@ -12,12 +20,14 @@
 typedef string ml_name<ML_NAME_MAX>;
 typedef string ml_text<ML_TEXT_MAX>;
 
+/* A position in a group's log: the term of the primary and the LSN. */
 struct ml_pos {
 	unsigned hyper term;
 	unsigned hyper lsn;
 };
 
-struct ml_news {
+/* The newest known state of a VM, which spreads with the heartbeats. A higher seq supersedes a lower one. */
+struct ml_vm_update {
 	ml_name vm;
 	unsigned hyper incarnation;
 	unsigned hyper seq;
@@ -25,20 +35,21 @@
 	bool leaving;
 };
 
+/* Sent by each VM to other VMs at intervals, and the answer to it. */
 struct ml_heartbeat {
 	ml_name vm;
 	unsigned hyper incarnation;
 	unsigned hyper conf_version;
 	unsigned hyper vms_revision;
-	unsigned hyper news_age_us;
-	ml_news news<ML_NEWS_MAX>;
+	unsigned hyper conf_confirmed_age_us;	/* since the store confirmed that conf_version is current */
+	ml_vm_update news<ML_VM_UPDATES_MAX>;
 };
 
 enum ml_op {
 	ML_SIMPLE = 0,
 	ML_EXTENDED = 1,
 	ML_DESCRIBE = 2,
-	ML_ABANDON = 3
+	ML_ABANDON = 3		/* ends an open transaction without running a statement */
 };
 
 enum ml_control {
@@ -55,6 +66,7 @@
 	opaque value<ML_RESULT_MAX>;
 };
 
+/* A statement that an entry sends to the home of a member. */
 struct ml_exec_args {
 	unsigned hyper request;
 	ml_name team;
@@ -90,6 +102,7 @@
 	opaque frames<ML_RESULT_MAX>;
 };
 
+/* Asks the home of a member for its state; answered once it reaches wait_for, or after wait_us. */
 struct ml_member_args {
 	ml_name pool;
 	ml_name member;
@@ -108,6 +121,7 @@
 	unsigned hyper age_us;
 };
 
+/* Orders a member to become primary in a term, or to accept that term and replicate from upstream. */
 struct ml_order_args {
 	ml_name pool;
 	ml_name member;
@@ -125,10 +139,11 @@
 
 struct ml_conf_args {
 	unsigned hyper conf_version;
-	ml_name after;			/* the entry after which the page begins, or "" */
+	ml_name after;			/* the page starts after this configuration entry; "": at the first */
 	unsigned hyper vms_revision;
 };
 
+/* An entry of the configuration. */
 struct ml_entry {
 	ml_name id;
 	unsigned hyper conf_version;
@@ -136,6 +151,7 @@
 	ml_text text;
 };
 
+/* A key of the store that describes a VM. */
 struct ml_vm_item {
 	ml_text key;
 	unsigned hyper revision;
@@ -143,18 +159,20 @@
 	ml_text value;
 };
 
+/* A page of the configuration's changes after the version base, and of the changes to the list of VMs. */
 struct ml_conf_res {
 	unsigned hyper base;
 	unsigned hyper conf_version;
 	bool full;
 	bool more;			/* another page follows */
-	bool busy;			/* no page: too many others are being sent some */
+	bool busy;			/* no page: too many peers are fetching pages now */
 	ml_entry entries<ML_ENTRIES_MAX>;
 	unsigned hyper vms_revision;
-	unsigned hyper vms_base;	/* what is told is what changed after it; 0: the whole list */
+	unsigned hyper vms_base;	/* vms has the changes after this revision; 0: the whole list */
 	ml_vm_item vms<ML_ENTRIES_MAX>;
 };
 
+/* A VM's report to the allocator of a team's rate: its part of the rate and its demand. */
 struct ml_share_report {
 	ml_name team;
 	unsigned hyper epoch;
@@ -171,6 +189,7 @@
 	ml_share_report reports<ML_TEAMS_MAX>;
 };
 
+/* The allocator's answer: the VM's new part of the team's rate. */
 struct ml_share_order {
 	ml_name team;
 	unsigned hyper epoch;
@@ -184,11 +203,13 @@
 	ml_share_order orders<ML_TEAMS_MAX>;
 };
 
-struct ml_poke {
-	ml_name team;		/* none: all teams of the allocator */
+/* Asks a VM to send its ml_share_report at once. */
+struct ml_report_request {
+	ml_name team;		/* "": all teams of the allocator */
 	unsigned int allocator;
 };
 
+/* Asks another VM for tokens of a team's token bucket. */
 struct ml_tokens_args {
 	ml_name team;
 	unsigned int want;
@@ -198,29 +219,32 @@
 	unsigned int granted;
 };
 
+/* An answer whose only content is a success flag. */
 struct ml_none {
 	bool ok;
 };
 
-struct ml_fate_args {
+/* Asks for the outcome of a transaction whose answer to COMMIT was lost. */
+struct ml_commit_status_args {
 	ml_name pool;
 	ml_name member;
 	ml_name xid;
 	int backend_pid;
-	ml_name former;
+	ml_name former;		/* the member that ran the transaction */
 };
 
-struct ml_fate_res {
+struct ml_commit_status_res {
 	int fate;
 	ml_pos pos;
 };
 
+/* A session value (SET). */
 struct ml_value {
 	ml_text name;
 	ml_text value;
 };
 
-/* Sent with each statement: what its receiver knows, or can work out, is left out. */
+/* A statement sent to the owner, or to a VM that reads for it. Has no field that the receiver knows or can compute. */
 struct ml_run_args {
 	ml_text request;
 	ml_name team;
@@ -239,7 +263,7 @@
 	unsigned hyper transaction;
 	int begin;
 	int reader;
-	unsigned hyper owner_revision;	/* newest that the sender knows of */
+	unsigned hyper owner_revision;	/* newest revision of the group's owner record that the sender knows */
 	ml_value values<ML_PARAMS_MAX>;
 };
 
@@ -252,13 +276,14 @@
 	ml_pos pos;
 	unsigned hyper transaction;
 	unsigned int retry_after_us;
-	ml_pos mark;
+	ml_pos mark;		/* includes all writes acknowledged more than mark_age_us ago */
 	unsigned int mark_age_us;
-	ml_name owner;		/* with its address, when the sender of the statement knows an older one */
+	ml_name owner;		/* with its address, if the sender of the statement knows an older owner only */
 	ml_name owner_address;
 	unsigned hyper owner_revision;
 };
 
+/* Announces the owner of a group, or asks a VM whether it serves the group. */
 struct ml_owner {
 	ml_name pool;
 	ml_name vm;
@@ -266,26 +291,28 @@
 	unsigned hyper revision;
 	bool serving;
 	bool claim;
-	bool unreachable;		/* the sender cannot reach the owner: look after it */
-	ml_pos mark;
+	bool unreachable;		/* the sender cannot reach the owner: the receiver should check it */
+	ml_pos mark;			/* includes all writes acknowledged more than mark_age_us ago */
 	unsigned hyper mark_age_us;
 	ml_name primary;
 };
 
+/* Asks a VM to stop sending to a group's primary, because another VM has claimed the group. */
 struct ml_yield_args {
 	ml_name pool;
 	unsigned hyper revision;
 	ml_name vm;
-	unsigned hyper quiet_us;	/* since when the sender has not heard the primary; 0: stop in any case */
+	unsigned hyper quiet_us;	/* time without an answer of the primary to the sender; 0: stop unconditionally */
 };
 
 struct ml_yield_res {
 	bool stopped;
-	ml_name primary;		/* none: it knows of none */
+	ml_name primary;		/* "": no primary known, or no contact with it yet */
 	ml_pos acknowledged;
-	unsigned hyper heard_age_us;
+	unsigned hyper last_contact_age_us;	/* since the primary last answered the receiver */
 };
 
+/* Asks a VM whether it can connect to a member; answered by ml_none. */
 struct ml_reach_args {
 	ml_name pool;
 	ml_name member;
@@ -303,10 +330,10 @@
 		ml_order_res ML_ORDER(ml_order_args) = 4;
 		ml_conf_res ML_CONF(ml_conf_args) = 5;
 		ml_share_res ML_SHARE(ml_share_args) = 6;
-		ml_fate_res ML_FATE(ml_fate_args) = 7;
+		ml_commit_status_res ML_COMMIT_STATUS(ml_commit_status_args) = 7;
 		ml_status_res ML_STATUS(void) = 8;
 		ml_status_res ML_STOP(void) = 9;
-		ml_none ML_POKE(ml_poke) = 10;
+		ml_none ML_REPORT_REQUEST(ml_report_request) = 10;
 		ml_run_res ML_RUN(ml_run_args) = 11;
 		ml_owner ML_OWNER(ml_owner) = 12;
 		ml_yield_res ML_YIELD(ml_yield_args) = 13;
--- a/src/mango_xdr.c
+++ b/src/mango_xdr.c
@@ -38,7 +38,7 @@
 }
 
 bool_t
-xdr_ml_news (XDR *xdrs, ml_news *objp)
+xdr_ml_vm_update (XDR *xdrs, ml_vm_update *objp)
 {
 	register int32_t *buf;
 
@@ -68,10 +68,10 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->vms_revision))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->news_age_us))
+	 if (!xdr_u_quad_t (xdrs, &objp->conf_confirmed_age_us))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->news.news_val, (u_int *) &objp->news.news_len, ML_NEWS_MAX,
-		sizeof (ml_news), (xdrproc_t) xdr_ml_news))
+	 if (!xdr_array (xdrs, (char **)&objp->news.news_val, (u_int *) &objp->news.news_len, ML_VM_UPDATES_MAX,
+		sizeof (ml_vm_update), (xdrproc_t) xdr_ml_vm_update))
 		 return FALSE;
 	return TRUE;
 }
@@ -507,7 +507,7 @@
 }
 
 bool_t
-xdr_ml_poke (XDR *xdrs, ml_poke *objp)
+xdr_ml_report_request (XDR *xdrs, ml_report_request *objp)
 {
 	register int32_t *buf;
 
@@ -551,7 +551,7 @@
 }
 
 bool_t
-xdr_ml_fate_args (XDR *xdrs, ml_fate_args *objp)
+xdr_ml_commit_status_args (XDR *xdrs, ml_commit_status_args *objp)
 {
 	register int32_t *buf;
 
@@ -569,7 +569,7 @@
 }
 
 bool_t
-xdr_ml_fate_res (XDR *xdrs, ml_fate_res *objp)
+xdr_ml_commit_status_res (XDR *xdrs, ml_commit_status_res *objp)
 {
 	register int32_t *buf;
 
@@ -791,7 +791,7 @@
 		 return FALSE;
 	 if (!xdr_ml_pos (xdrs, &objp->acknowledged))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->heard_age_us))
+	 if (!xdr_u_quad_t (xdrs, &objp->last_contact_age_us))
 		 return FALSE;
 	return TRUE;
 }
--- a/src/net.c
+++ b/src/net.c
@@ -1,4 +1,4 @@
-/** @file net.c Socket helpers. */
+/** @file net.c Helpers for TCP sockets. */
 #include "net.h"
 
 #include "error.h"
@@ -11,13 +11,13 @@
 #include <string.h>
 
 #define LISTEN_BACKLOG 1024
-/** An idle connection is probed after this; two probes without an answer end it. */
+/** Idle time before the first keepalive probe; unanswered probes close the connection. */
 #define KEEPALIVE_IDLE_S 3
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES 2
-/** The other end's time to take the last words and close. */
+/** Time limit for the peer to read the remaining output and close. */
 #define LINGER_S 1
-/** Bytes that stay unacknowledged for this long end the connection. */
+/** A connection whose sent data stays unacknowledged for this long is closed. */
 #define UNACKED_MS 5000
 
 const char *net_split(const char *address, char host[ADDRESS_SIZE])
--- a/src/net.h
+++ b/src/net.h
@@ -1,4 +1,4 @@
-/** @file net.h Sockets by "ip:port" texts. */
+/** @file net.h Helpers for TCP sockets, with addresses of the form "ip:port". */
 #ifndef NET_H
 #define NET_H
 
@@ -11,26 +11,26 @@
 #include <netinet/in.h>
 #include <stdbool.h>
 
-/** Split "ip:port". @return the port's text, "" when there is none */
+/** Splits "ip:port". @return the port as text, or "" if there is none */
 const char *net_split(const char *address, char host[ADDRESS_SIZE]);
-/** Parse "ip:port". */
+/** Parses "ip:port". @return false if the host is no IPv4 address or there is no port */
 bool net_parse(const char *address, struct sockaddr_in *sin);
-/** Small messages leave at once. */
+/** Disables Nagle's algorithm, so that small messages are sent without delay. */
 void net_set_nodelay(evutil_socket_t fd);
 /**
- * Find out within seconds that the other end is gone without a word. Something between two ends can
- * drop an open connection in silence; without probes it would hang until the next write times out.
+ * Enables TCP keepalive, so that a peer that vanished without closing the connection is detected
+ * within seconds. A middlebox can drop an established connection silently; without probes it would
+ * hang until the next write times out.
  */
 void net_set_keepalive(evutil_socket_t fd);
 /**
- * Close @a bev once all that was written to it has left, and the other end has taken it. A socket
- * that is closed with bytes unread resets its connection, and the other end loses the last words,
- * such as why its message was refused. What still comes is read and dropped, for a second at most.
- * Takes
- * @a bev over.
+ * Closes and frees @a bev after its output has been sent and the peer has closed its side, or after
+ * one second without progress. Closing a socket with unread input resets the connection, and the
+ * peer could lose the last message, such as the reason why its request was refused; input is
+ * therefore read and dropped meanwhile.
  */
 void net_linger(struct bufferevent *bev);
-/** Listen on @a address. @return NULL with @a error when it cannot be had. */
+/** Listens on @a address. @return the listener, or NULL with @a error set */
 struct evconnlistener *net_listen(struct event_base *base, const char *address,
 				  evconnlistener_cb cb, void *arg, GError **error);
 
--- a/src/owner-change.c
+++ b/src/owner-change.c
@@ -70,12 +70,12 @@
 	const struct settings *set = m->g->o->service.kernel->settings;
 
 	if (!m->listed)
-		return exceeds_fraction(m->unlisted_us, set->leave_ms, LEAVE_FRACTION, now);
+		return exceeds_fraction(m->unlisted_us, set->member_leave_ms, LEAVE_FRACTION, now);
 	if (m->conf.evacuated &&
 	    exceeds_fraction(m->evacuated_us, set->evacuate_ms, EVACUATE_FRACTION, now))
 		return true;
 	return m->conf.leaving &&
-	       exceeds_fraction(m->leaving_us, set->leave_ms, LEAVE_FRACTION, now);
+	       exceeds_fraction(m->leaving_us, set->member_leave_ms, LEAVE_FRACTION, now);
 }
 
 bool change_must_leave(const struct owner_member *m, int64_t now)
@@ -109,7 +109,7 @@
 	struct owner_member *m = &g->member[i];
 
 	if (g->unserved_since_us != 0)
-		stat_time(STAT_TIME_CHANGE, now_us() - g->unserved_since_us);
+		stat_add_time(STAT_TIME_PRIMARY_CHANGE, now_us() - g->unserved_since_us);
 	g->unserved_since_us = 0;
 	g->leave_pending = false;
 	g->primary = i;
--- a/src/owner-claim.c
+++ b/src/owner-claim.c
@@ -514,7 +514,7 @@
 	if (m == NULL || m->last_answer_us == 0)
 		return;
 	res->primary = (char *)m->conf.name;
-	res->heard_age_us = (u_quad_t)(now - m->last_answer_us);
+	res->last_contact_age_us = (u_quad_t)(now - m->last_answer_us);
 }
 
 /** Serves a request of another VM, which has claimed the group, to stop sending to its primary. */
--- a/src/owner-fence.c
+++ b/src/owner-fence.c
@@ -48,7 +48,7 @@
 	g_strlcpy(r.vm, f->vm.name, sizeof(r.vm));
 	g_strlcpy(r.primary, res->primary, sizeof(r.primary));
 	if (res->primary[0] != '\0')
-		r.heard_us = f->asked_us - (int64_t)res->heard_age_us;
+		r.heard_us = f->asked_us - (int64_t)res->last_contact_age_us;
 	first = g->succession.reported_us == 0;
 	succession_report(&g->succession, &r, now_us());
 	if (g->succession.heard_us == 0)
--- a/src/owner-job.c
+++ b/src/owner-job.c
@@ -549,9 +549,9 @@
 		queue_dispatch(g);
 		return;
 	}
-	stat_time(STAT_TIME_MEMBER, now - job->sent_us);
+	stat_add_time(STAT_TIME_MEMBER, now - job->sent_us);
 	if (job->step == OWNER_STATEMENT && job->tx == NULL)
-		stat_time(STAT_TIME_QUEUE, job->sent_us - job->received_us);
+		stat_add_time(STAT_TIME_QUEUE, job->sent_us - job->received_us);
 	m->service_us += SERVICE_ALPHA * ((double)(now - job->sent_us) - m->service_us);
 	fairq_record_service(queue_of(job), now - job->sent_us);
 	if (!is_trusted(job)) {
--- a/src/parts.c
+++ b/src/parts.c
@@ -42,7 +42,7 @@
 
 struct parts *parts_of(struct kernel *k)
 {
-	return (struct parts *)kernel_look(k, "parts");
+	return (struct parts *)kernel_lookup(k, "parts");
 }
 
 static struct fleet *parts_fleet(const struct parts *p)
--- a/src/rpc-msg.c
+++ b/src/rpc-msg.c
@@ -6,25 +6,25 @@
 #include <string.h>
 
 /**
- * Our own authentication flavour: the body holds the calling process's incarnation, and the keyed
- * hash where the VMs share a secret.
+ * Authentication flavor of this protocol. Its body has the incarnation of the calling process and,
+ * if a shared secret is set, the keyed hash of the record.
  */
 #define RPC_FLAVOR 0x4d4c
-#define RPC_INCARNATION_SIZE 8
-/** The first call of a connection also names the calling VM. */
-#define RPC_AUTH_MAX (RPC_INCARNATION_SIZE + RPC_MAC_SIZE + NAME_SIZE)
-/** Room for any header of ours. */
-#define RPC_HEADER_MAX 256
+#define RPC_INCARNATION_BYTES 8
+/** The first call of a connection also has the name of the calling VM. */
+#define RPC_AUTH_MAX_BYTES (RPC_INCARNATION_BYTES + RPC_MAC_SIZE + NAME_SIZE)
+/** Upper bound of the size of an encoded header. */
+#define RPC_HEADER_MAX_BYTES 256
 /**
- * A reply without a body, and without its authentication's body: xid, direction, status, the
- * authentication's flavour and length, and a status.
+ * Smallest reply, with neither a body nor an authentication body: xid, direction, reply status,
+ * authentication flavor and length, accept status.
  */
-#define RPC_SMALLEST (6 * BYTES_PER_XDR_UNIT)
-/** A call without a body has two words more before the hash, and an empty verifier after it. */
-#define RPC_SMALLEST_CALL (10 * BYTES_PER_XDR_UNIT)
-#define RPC_MARK_LAST 0x80000000U
-#define RPC_MARK_SIZE 4
-#define RPC_VERSION 1
+#define RPC_REPLY_MIN_BYTES (6 * BYTES_PER_XDR_UNIT)
+/** Smallest call: four more words than a reply, two of them for the empty verifier. */
+#define RPC_CALL_MIN_BYTES (10 * BYTES_PER_XDR_UNIT)
+#define RPC_LAST_FRAGMENT 0x80000000U
+#define RPC_RECORD_MARK_BYTES 4
+#define RPC_PROGRAM_VERSION 1
 
 bool_t rpc_xdr_none(XDR *x, ...)
 {
@@ -33,7 +33,7 @@
 
 static u_int auth_size(const char *secret)
 {
-	return RPC_INCARNATION_SIZE + (secret[0] != '\0' ? RPC_MAC_SIZE : 0);
+	return RPC_INCARNATION_BYTES + (secret[0] != '\0' ? RPC_MAC_SIZE : 0);
 }
 
 static void put_auth(struct opaque_auth *auth, char *body, u_int size, uint64_t incarnation)
@@ -53,7 +53,7 @@
 		msg.rm_direction = CALL;
 		msg.rm_call.cb_rpcvers = RPC_MSG_VERSION;
 		msg.rm_call.cb_prog = MANGOLOOM_PROG;
-		msg.rm_call.cb_vers = RPC_VERSION;
+		msg.rm_call.cb_vers = RPC_PROGRAM_VERSION;
 		msg.rm_call.cb_proc = h->proc;
 		put_auth(&msg.rm_call.cb_cred, auth, size, h->incarnation);
 		if (h->vm != NULL) {
@@ -71,7 +71,7 @@
 	return xdr_replymsg(x, &msg);
 }
 
-/** Hash the record as if the hash's own bytes at @a mac were zero. */
+/** Computes the keyed hash of the record after zeroing the hash's own bytes at @a mac. */
 static void record_hash(char *record, size_t len, char *mac, const char *secret,
 			unsigned char out[RPC_MAC_SIZE])
 {
@@ -84,14 +84,14 @@
 }
 
 /**
- * Where the hash stands in a record: after the incarnation, which is unique enough to be found by
- * its offset.
+ * Returns the position of the hash in a record: after the incarnation, at a fixed offset that
+ * depends only on the direction of the message.
  */
-static char *mac_at(char *record, bool call)
+static char *mac_position(char *record, bool call)
 {
 	/*
-	 * Call: xid, direction, versions (4 words), flavour, length. Reply: xid, direction, status,
-	 * flavour, length.
+	 * Call: xid, direction, RPC version, program, program version, procedure, flavor, length.
+	 * Reply: xid, direction, status, flavor, length.
 	 */
 	size_t words = call ? 8 : 5;
 
@@ -101,36 +101,37 @@
 char *rpc_msg_encode(const struct rpc_header *h, xdrproc_t codec, const void *body,
 		     const char *secret, size_t *len)
 {
-	u_long size = RPC_HEADER_MAX + xdr_sizeof(codec, (void *)body);
-	char *record = g_malloc(RPC_MARK_SIZE + size);
-	char auth[RPC_AUTH_MAX];
+	u_long size = RPC_HEADER_MAX_BYTES + xdr_sizeof(codec, (void *)body);
+	char *record = g_malloc(RPC_RECORD_MARK_BYTES + size);
+	char auth[RPC_AUTH_MAX_BYTES];
 	uint32_t mark;
 	bool ok;
 	XDR x;
 
-	xdrmem_create(&x, record + RPC_MARK_SIZE, (u_int)size, XDR_ENCODE);
+	xdrmem_create(&x, record + RPC_RECORD_MARK_BYTES, (u_int)size, XDR_ENCODE);
 	ok = encode_header(&x, h, auth, auth_size(secret)) && codec(&x, (void *)body);
-	*len = RPC_MARK_SIZE + xdr_getpos(&x);
+	*len = RPC_RECORD_MARK_BYTES + xdr_getpos(&x);
 	xdr_destroy(&x);
 	if (!ok) {
 		g_free(record);
 		return NULL;
 	}
 	if (secret[0] != '\0') {
-		char *mac = mac_at(record + RPC_MARK_SIZE, h->call);
+		char *mac = mac_position(record + RPC_RECORD_MARK_BYTES, h->call);
 		unsigned char hash[RPC_MAC_SIZE];
 
-		record_hash(record + RPC_MARK_SIZE, *len - RPC_MARK_SIZE, mac, secret, hash);
+		record_hash(record + RPC_RECORD_MARK_BYTES, *len - RPC_RECORD_MARK_BYTES, mac,
+			    secret, hash);
 		memcpy(mac, hash, sizeof(hash));
 	}
-	mark = htonl(RPC_MARK_LAST | (uint32_t)(*len - RPC_MARK_SIZE));
+	mark = htonl(RPC_LAST_FRAGMENT | (uint32_t)(*len - RPC_RECORD_MARK_BYTES));
 	memcpy(record, &mark, sizeof(mark));
 	return record;
 }
 
 static bool check_hash(char *record, size_t len, bool call, const char *secret)
 {
-	char *mac = mac_at(record, call);
+	char *mac = mac_position(record, call);
 	unsigned char claimed[RPC_MAC_SIZE];
 	unsigned char hash[RPC_MAC_SIZE];
 
@@ -149,7 +150,7 @@
 	msg.rm_call.cb_cred.oa_base = auth;
 	msg.rm_call.cb_verf.oa_base = verf;
 	if (!xdr_callmsg(x, &msg) || msg.rm_call.cb_prog != MANGOLOOM_PROG ||
-	    msg.rm_call.cb_vers != RPC_VERSION || msg.rm_call.cb_cred.oa_length < size)
+	    msg.rm_call.cb_vers != RPC_PROGRAM_VERSION || msg.rm_call.cb_cred.oa_length < size)
 		return false;
 	h->xid = msg.rm_xid;
 	h->proc = msg.rm_call.cb_proc;
@@ -176,24 +177,24 @@
 	char auth[MAX_AUTH_BYTES];
 	u_int size = auth_size(secret);
 	uint32_t direction;
-	size_t at = 0;
+	size_t offset = 0;
 	bool ok;
 	XDR x;
 
-	if (len < RPC_SMALLEST + size)
+	if (len < RPC_REPLY_MIN_BYTES + size)
 		return 0;
 	memcpy(&direction, record + BYTES_PER_XDR_UNIT, sizeof(direction));
 	h->call = ntohl(direction) == CALL;
-	if (h->call && len < RPC_SMALLEST_CALL + size)
+	if (h->call && len < RPC_CALL_MIN_BYTES + size)
 		return 0;
 	if (!check_hash(record, len, h->call, secret))
 		return 0;
 	xdrmem_create(&x, record, (u_int)len, XDR_DECODE);
 	ok = h->call ? decode_call(&x, h, auth, size) : decode_reply(&x, h, auth, size);
 	if (ok)
-		at = xdr_getpos(&x);
+		offset = xdr_getpos(&x);
 	xdr_destroy(&x);
-	return at;
+	return offset;
 }
 
 bool rpc_msg_body(char *body, size_t len, xdrproc_t codec, void *out)
--- a/src/rpc.c
+++ b/src/rpc.c
@@ -1,4 +1,4 @@
-/** @file rpc.c RPC transport: client connections by address, a listener, calls and requests. */
+/** @file rpc.c RPC transport: outgoing connections by address, the listener, calls and requests. */
 #include "rpc.h"
 
 #include "error.h"
@@ -12,11 +12,11 @@
 #include <event2/listener.h>
 #include <string.h>
 
-#define RPC_RECORD_MAX (96U * 1024 * 1024)
-#define RPC_MARK_SIZE 4
-#define RPC_MARK_LAST 0x80000000U
-/** Looks at each connection within the time that a silent one is kept. */
-#define RPC_LOOKS 4
+#define RPC_RECORD_MAX_BYTES (96U * 1024 * 1024)
+#define RPC_RECORD_MARK_BYTES 4
+#define RPC_LAST_FRAGMENT 0x80000000U
+/** Checks of each connection for silence per settings.silent_ms. */
+#define RPC_SILENCE_CHECKS 4
 
 #define PROC(upper, lower, args, res, control)                                                     \
 	[upper] = {lower,  (xdrproc_t)xdr_##args, sizeof(args), (xdrproc_t)xdr_##res, sizeof(res), \
@@ -30,13 +30,13 @@
 	PROC(ML_ORDER, "order", ml_order_args, ml_order_res, true),
 	PROC(ML_CONF, "conf", ml_conf_args, ml_conf_res, true),
 	PROC(ML_SHARE, "share", ml_share_args, ml_share_res, true),
-	PROC(ML_POKE, "poke", ml_poke, ml_none, true),
+	PROC(ML_REPORT_REQUEST, "poke", ml_report_request, ml_none, true),
 	PROC(ML_RUN, "run", ml_run_args, ml_run_res, false),
 	PROC(ML_OWNER, "owner", ml_owner, ml_owner, true),
 	PROC(ML_YIELD, "yield", ml_yield_args, ml_yield_res, true),
 	PROC(ML_REACH, "reach", ml_reach_args, ml_none, true),
 	PROC(ML_TOKENS, "tokens", ml_tokens_args, ml_tokens_res, true),
-	PROC(ML_FATE, "fate", ml_fate_args, ml_fate_res, false),
+	PROC(ML_COMMIT_STATUS, "fate", ml_commit_status_args, ml_commit_status_res, false),
 	[ML_STATUS] = {"status", rpc_xdr_none, 0, (xdrproc_t)xdr_ml_status_res,
 		       sizeof(ml_status_res), false},
 	[ML_STOP] = {"stop", rpc_xdr_none, 0, (xdrproc_t)xdr_ml_status_res, sizeof(ml_status_res),
@@ -52,19 +52,19 @@
 	u_int xid;
 	u_int proc;
 	int64_t sent_us;
-	rpc_done cb; /**< NULL once forgotten */
+	rpc_done cb; /**< NULL if there is none, or after rpc_call_detach() */
 	void *arg;
 	struct event *timer;
-	enum rpc_status status; /**< of a call to this process, with its result */
-	void *res;
+	enum rpc_status status; /**< for a call to this process */
+	void *res;		/**< for a call to this process */
 };
 TAILQ_HEAD(rpc_calls, rpc_call);
 
 struct rpc_request {
 	TAILQ_ENTRY(rpc_request) link;
 	struct rpc *rpc;
-	struct rpc_conn *conn; /**< NULL once closed, or for this process itself */
-	struct rpc_call *local;
+	struct rpc_conn *conn;	/**< NULL after it was closed, and for a call of this process */
+	struct rpc_call *local; /**< the call, if this process made it */
 	u_int xid;
 	u_int proc;
 	uint64_t incarnation;
@@ -78,13 +78,13 @@
 	unsigned refs;
 	bool closed;
 	uint64_t number;
-	char address[ADDRESS_SIZE]; /**< empty for an accepted one */
+	char address[ADDRESS_SIZE]; /**< empty for an accepted connection */
 	struct bufferevent *bev;
-	bool up;
-	bool named;		/**< a call has told this VM's name */
-	struct evbuffer *early; /**< records that wait for the connection to come up */
-	int64_t heard_us;
-	int64_t pinged_us; /**< when the open ping was sent; 0 for none */
+	bool connected;
+	bool vm_name_sent;	 /**< a call with this VM's name was sent */
+	struct evbuffer *unsent; /**< records to be sent once the connection is established */
+	int64_t last_received_us;
+	int64_t ping_sent_us; /**< time of the unanswered ping; 0: none */
 	struct rpc_calls calls;
 	struct rpc_requests requests;
 };
@@ -97,16 +97,16 @@
 	uint64_t next_conn;
 	u_int next_xid;
 	GHashTable *by_address;
-	struct rpc_calls finished; /**< calls to this process, answered */
-	struct event *finish;
-	struct event *look;
+	struct rpc_calls local_done; /**< local calls whose callbacks are due */
+	struct event *local_done_event;
+	struct event *silence_timer;
 	struct {
 		rpc_handler handler;
-		void *owner;
+		void *ctx;
 	} served[RPC_PROCS];
 	struct {
 		rpc_closed cb;
-		void *owner;
+		void *ctx;
 	} closed;
 };
 
@@ -116,7 +116,7 @@
 {
 	if (--c->refs > 0)
 		return;
-	evbuffer_free(c->early);
+	evbuffer_free(c->unsent);
 	g_free(c);
 }
 
@@ -133,7 +133,7 @@
 		stat_add(in ? STAT_CONTROL_BYTES_IN : STAT_CONTROL_BYTES_OUT, len);
 }
 
-/** End @a call with @a status and free it. */
+/** Ends @a call with @a status: frees it and calls its callback. */
 static void rpc_call_end(struct rpc_call *call, enum rpc_status status, const void *res)
 {
 	rpc_done cb = call->cb;
@@ -150,7 +150,7 @@
 		cb(status, res, arg);
 }
 
-void rpc_call_forget(struct rpc_call *call)
+void rpc_call_detach(struct rpc_call *call)
 {
 	call->cb = NULL;
 }
@@ -160,10 +160,11 @@
 	struct rpc_call *call = arg;
 
 	/*
-	 * What waits for the connection would still leave if it came up later, and a call told as
-	 * not sent would be carried out as well as its repetition. Closing drops it.
+	 * The record of the call waits for the connection and would be sent if it came up later.
+	 * The call is reported as not sent, so the caller may repeat it, and both would be
+	 * executed. Closing the connection drops the record.
 	 */
-	if (call->conn != NULL && !call->conn->up) {
+	if (call->conn != NULL && !call->conn->connected) {
 		rpc_conn_close(call->conn);
 		return;
 	}
@@ -182,15 +183,15 @@
 	}
 	count_bytes(h->proc, len, false);
 	/*
-	 * Given to a socket that is still connecting, the record leaves before this process learns
-	 * that the connection is up. A call that ended in between was told as not sent, and the
-	 * write in it was committed: two of 76,000 statements on slow VMs. Held here, a record
-	 * leaves only after its call counts as sent.
+	 * A record that is written to a connecting socket is sent as soon as the connection is
+	 * established, before this process handles the event. A call that timed out in between was
+	 * reported as not sent although its write was committed (2 of 76,000 statements on slow
+	 * VMs). Records are therefore held back until their calls are marked as sent.
 	 */
-	if (c->up)
+	if (c->connected)
 		bufferevent_write(c->bev, record, len);
 	else
-		evbuffer_add(c->early, record, len);
+		evbuffer_add(c->unsent, record, len);
 	g_free(record);
 }
 
@@ -207,7 +208,7 @@
 	g_free(rq);
 }
 
-/** Copy @a from by encoding and decoding it, for calls to this process. */
+/** Copies arguments or a result for a call to this process, by encoding and decoding them. */
 static void *rpc_copy(xdrproc_t codec, size_t size, const void *from)
 {
 	u_long len = xdr_sizeof(codec, (void *)from);
@@ -231,8 +232,8 @@
 	if (rq->local != NULL) {
 		rq->local->res = rpc_copy(p->res, p->res_size, res);
 		rq->local->status = RPC_DONE;
-		TAILQ_INSERT_TAIL(&rq->rpc->finished, rq->local, link);
-		event_active(rq->rpc->finish, EV_TIMEOUT, 0);
+		TAILQ_INSERT_TAIL(&rq->rpc->local_done, rq->local, link);
+		event_active(rq->rpc->local_done_event, EV_TIMEOUT, 0);
 	} else if (rq->conn != NULL) {
 		rpc_send(rq->conn, &h, p->res, res);
 	}
@@ -244,18 +245,18 @@
 	return rq->conn != NULL ? rq->conn->number : 0;
 }
 
-/** Hand over the answers of calls to this process. */
-static void rpc_finish(evutil_socket_t fd, short what, void *arg)
+/** Calls the callbacks of answered calls to this process. */
+static void rpc_deliver_local(evutil_socket_t fd, short what, void *arg)
 {
 	struct rpc_calls batch = TAILQ_HEAD_INITIALIZER(batch);
 	struct rpc *r = arg;
 	struct rpc_call *call;
 
 	/*
-	 * Calls made by these callbacks wait for the next turn of the loop, so that nothing else is
-	 * kept waiting.
+	 * Calls that these callbacks make are answered in the next iteration of the event loop, so
+	 * that a chain of local calls does not starve other events.
 	 */
-	TAILQ_CONCAT(&batch, &r->finished, link);
+	TAILQ_CONCAT(&batch, &r->local_done, link);
 	while ((call = TAILQ_FIRST(&batch)) != NULL) {
 		const struct rpc_proc *p = &rpc_procs[call->proc];
 		void *res = call->res;
@@ -273,10 +274,10 @@
 		rpc_request_free(rq);
 		return;
 	}
-	r->served[rq->proc].handler(rq, rq->args, r->served[rq->proc].owner);
+	r->served[rq->proc].handler(rq, rq->args, r->served[rq->proc].ctx);
 }
 
-static void rpc_take_call(struct rpc_conn *c, const struct rpc_header *h, char *body, size_t len)
+static void rpc_receive_call(struct rpc_conn *c, const struct rpc_header *h, char *body, size_t len)
 {
 	const struct rpc_proc *p;
 	struct rpc_request *rq;
@@ -306,16 +307,14 @@
 	rpc_handle(c->rpc, rq);
 }
 
-static void rpc_take_reply(struct rpc_conn *c, const struct rpc_header *h, char *body, size_t len)
+static void rpc_receive_reply(struct rpc_conn *c, const struct rpc_header *h, char *body,
+			      size_t len)
 {
 	const struct rpc_proc *p;
 	struct rpc_call *call;
 	void *res;
 
-	/*
-	 * An answer to an earlier process on this VM, or to a call that was given up on, reaches
-	 * nobody.
-	 */
+	/* Drops a reply to an earlier process on this VM, or to a call that has ended. */
 	if (h->incarnation != c->rpc->kernel->incarnation)
 		return;
 	TAILQ_FOREACH(call, &c->calls, link) {
@@ -327,7 +326,7 @@
 	count_bytes(call->proc, len, true);
 	p = &rpc_procs[call->proc];
 	if (call->proc == NULLPROC)
-		c->pinged_us = 0;
+		c->ping_sent_us = 0;
 	res = g_malloc0(p->res_size + 1);
 	if (rpc_msg_body(body, len, p->res, res))
 		rpc_call_end(call, RPC_DONE, res);
@@ -338,10 +337,10 @@
 }
 
 /**
- * Take one whole record off @a in. @return its length, 0 when it is not whole yet, or -1 when it
- * is malformed.
+ * Checks for a complete record at the start of @a in. @return its length without the record mark, 0
+ * if it is incomplete, or -1 if it is malformed
  */
-static ssize_t rpc_record(struct evbuffer *in)
+static ssize_t rpc_record_length(struct evbuffer *in)
 {
 	uint32_t mark;
 	size_t len;
@@ -349,35 +348,35 @@
 	if (evbuffer_copyout(in, &mark, sizeof(mark)) < (ssize_t)sizeof(mark))
 		return 0;
 	mark = ntohl(mark);
-	len = mark & ~RPC_MARK_LAST;
-	if (!(mark & RPC_MARK_LAST) || len > RPC_RECORD_MAX)
+	len = mark & ~RPC_LAST_FRAGMENT;
+	if (!(mark & RPC_LAST_FRAGMENT) || len > RPC_RECORD_MAX_BYTES)
 		return -1;
-	if (evbuffer_get_length(in) < RPC_MARK_SIZE + len)
+	if (evbuffer_get_length(in) < RPC_RECORD_MARK_BYTES + len)
 		return 0;
 	return (ssize_t)len;
 }
 
-/** Take one record off @a in and act on it. @return false when the connection is to be closed. */
-static bool rpc_take_record(struct rpc_conn *c, struct evbuffer *in, size_t len)
+/** Removes one record from @a in and handles it. @return false if the connection must be closed */
+static bool rpc_receive_record(struct rpc_conn *c, struct evbuffer *in, size_t len)
 {
 	char *record = g_malloc(len);
 	struct rpc_header h = {0};
-	size_t at;
+	size_t body_offset;
 
-	evbuffer_drain(in, RPC_MARK_SIZE);
+	evbuffer_drain(in, RPC_RECORD_MARK_BYTES);
 	evbuffer_remove(in, record, len);
-	at = rpc_msg_header(record, len, rpc_secret(c->rpc), &h);
-	if (at == 0) {
+	body_offset = rpc_msg_header(record, len, rpc_secret(c->rpc), &h);
+	if (body_offset == 0) {
 		log_warn("rpc-rejected", LOG_STR("address", c->address));
 	} else if (h.call) {
 		if (h.proc < RPC_PROCS)
 			count_bytes(h.proc, len, true);
-		rpc_take_call(c, &h, record + at, len - at);
+		rpc_receive_call(c, &h, record + body_offset, len - body_offset);
 	} else {
-		rpc_take_reply(c, &h, record + at, len - at);
+		rpc_receive_reply(c, &h, record + body_offset, len - body_offset);
 	}
 	g_free(record);
-	return at != 0;
+	return body_offset != 0;
 }
 
 static void rpc_read(struct bufferevent *bev, void *arg)
@@ -387,11 +386,11 @@
 	bool ok = true;
 	ssize_t len = 0;
 
-	c->heard_us = now_us();
+	c->last_received_us = now_us();
 	c->refs++;
-	/* What is called back may close this connection. */
-	while (ok && !c->closed && (len = rpc_record(in)) > 0)
-		ok = rpc_take_record(c, in, (size_t)len);
+	/* Handlers and callbacks may close this connection. */
+	while (ok && !c->closed && (len = rpc_record_length(in)) > 0)
+		ok = rpc_receive_record(c, in, (size_t)len);
 	if (!c->closed && (!ok || len < 0))
 		rpc_conn_close(c);
 	rpc_conn_unref(c);
@@ -404,12 +403,12 @@
 	if (what & BEV_EVENT_CONNECTED) {
 		struct rpc_call *call;
 
-		c->up = true;
-		c->heard_us = now_us();
+		c->connected = true;
+		c->last_received_us = now_us();
 		net_set_nodelay(bufferevent_getfd(bev));
 		TAILQ_FOREACH(call, &c->calls, link)
-			call->sent_us = c->heard_us;
-		bufferevent_write_buffer(bev, c->early);
+			call->sent_us = c->last_received_us;
+		bufferevent_write_buffer(bev, c->unsent);
 		return;
 	}
 	rpc_conn_close(c);
@@ -422,8 +421,8 @@
 	c->rpc = r;
 	c->refs = 1;
 	c->number = ++r->next_conn;
-	c->heard_us = now_us();
-	c->early = evbuffer_new();
+	c->last_received_us = now_us();
+	c->unsent = evbuffer_new();
 	TAILQ_INIT(&c->calls);
 	TAILQ_INIT(&c->requests);
 	c->bev = bufferevent_socket_new(r->kernel->base, fd,
@@ -459,7 +458,7 @@
 		rpc_call_end(call, call->sent_us != 0 ? RPC_LOST : RPC_NOT_SENT, NULL);
 	}
 	if (r->closed.cb != NULL)
-		r->closed.cb(number, r->closed.owner);
+		r->closed.cb(number, r->closed.ctx);
 }
 
 static struct rpc_conn *rpc_conn_get(struct rpc *r, const char *address)
@@ -475,7 +474,7 @@
 	g_strlcpy(c->address, address, sizeof(c->address));
 	g_hash_table_insert(r->by_address, c->address, c);
 	if (bufferevent_socket_connect(c->bev, (struct sockaddr *)&sin, sizeof(sin)) < 0) {
-		/* The failure is told by an event as well, from the loop. */
+		/* The failure is handled in rpc_conn_event(), which the event loop calls. */
 		return c;
 	}
 	return c;
@@ -514,13 +513,13 @@
 	struct rpc_header h = {.call = true, .xid = call->xid, .proc = call->proc};
 
 	h.incarnation = c->rpc->kernel->incarnation;
-	/* Whoever looks at a connection from outside learns by its first call whose it is. */
-	h.vm = c->named ? NULL : c->rpc->kernel->settings->name;
-	c->named = true;
+	/* The first call names this VM, so that network tools can attribute the connection. */
+	h.vm = c->vm_name_sent ? NULL : c->rpc->kernel->settings->name;
+	c->vm_name_sent = true;
 	call->conn = c;
 	TAILQ_INSERT_TAIL(&c->calls, call, link);
 	rpc_send(c, &h, rpc_procs[call->proc].args, args);
-	if (c->up)
+	if (c->connected)
 		call->sent_us = now_us();
 }
 
@@ -547,13 +546,13 @@
 }
 
 /**
- * Find connections that went silent: a ping goes out where an answer is awaited, and must come
- * back.
+ * Detects silent connections: sends a ping on connections with open calls, and closes those on
+ * which the ping stays unanswered.
  */
-static void rpc_look(evutil_socket_t fd, short what, void *arg)
+static void rpc_check_silence(evutil_socket_t fd, short what, void *arg)
 {
 	struct rpc *r = arg;
-	int64_t silent = (int64_t)r->kernel->settings->silent_ms * USEC_PER_MSEC;
+	int64_t silent_us = (int64_t)r->kernel->settings->silent_ms * USEC_PER_MSEC;
 	int64_t now = now_us();
 	struct rpc_conn *c, *next;
 
@@ -563,23 +562,25 @@
 		if (c->address[0] == '\0' || TAILQ_EMPTY(&c->calls))
 			continue;
 		/*
-		 * Something between two VMs can lose track of an open connection: what is written
-		 * vanishes, no error comes, and every caller waits for its deadline. A ping that
-		 * stays out shows it; the next call opens a new connection.
+		 * A middlebox between two VMs can lose the state of an established connection: data
+		 * is dropped without an error, and all calls run into their deadlines. The missing
+		 * reply to a ping reveals it, and the next call opens a new connection.
 		 */
-		if ((c->pinged_us != 0 && now - c->pinged_us > silent * 3 / RPC_LOOKS &&
-		     now - c->heard_us > silent) ||
-		    (!c->up && now - c->heard_us > silent)) {
+		if ((c->ping_sent_us != 0 &&
+		     now - c->ping_sent_us > silent_us * 3 / RPC_SILENCE_CHECKS &&
+		     now - c->last_received_us > silent_us) ||
+		    (!c->connected && now - c->last_received_us > silent_us)) {
 			log_warn("rpc-silent", LOG_STR("address", c->address));
 			rpc_conn_close(c);
-			/* Callbacks may have changed the list. */
+			/* Callbacks may have changed the list: start over. */
 			next = TAILQ_FIRST(&r->conns);
 			continue;
 		}
-		if (!c->up || c->pinged_us != 0 || now - c->heard_us < silent / RPC_LOOKS)
+		if (!c->connected || c->ping_sent_us != 0 ||
+		    now - c->last_received_us < silent_us / RPC_SILENCE_CHECKS)
 			continue;
 		ping = rpc_call_create(r, NULLPROC, NULL, NULL);
-		c->pinged_us = now;
+		c->ping_sent_us = now;
 		rpc_transmit(c, ping, NULL);
 	}
 }
@@ -590,7 +591,7 @@
 	struct rpc_conn *c = rpc_conn_create(arg, fd);
 
 	net_set_nodelay(fd);
-	c->up = true;
+	c->connected = true;
 }
 
 gboolean rpc_listen(struct rpc *r, const char *address, GError **error)
@@ -599,16 +600,16 @@
 	return r->listener != NULL;
 }
 
-void rpc_serve(struct rpc *r, u_int proc, rpc_handler handler, void *owner)
+void rpc_serve(struct rpc *r, u_int proc, rpc_handler handler, void *ctx)
 {
 	r->served[proc].handler = handler;
-	r->served[proc].owner = owner;
+	r->served[proc].ctx = ctx;
 }
 
-void rpc_on_closed(struct rpc *r, rpc_closed cb, void *owner)
+void rpc_on_closed(struct rpc *r, rpc_closed cb, void *ctx)
 {
 	r->closed.cb = cb;
-	r->closed.owner = owner;
+	r->closed.ctx = ctx;
 }
 
 int64_t rpc_silent_us(const struct rpc *r, const char *address)
@@ -620,15 +621,15 @@
 	if (c == NULL || TAILQ_EMPTY(&c->calls))
 		return 0;
 	oldest = TAILQ_FIRST(&c->calls);
-	since = oldest->sent_us > c->heard_us ? oldest->sent_us : c->heard_us;
+	since = oldest->sent_us > c->last_received_us ? oldest->sent_us : c->last_received_us;
 	return now_us() - since;
 }
 
-int64_t rpc_heard_us(const struct rpc *r, const char *address)
+int64_t rpc_last_received_us(const struct rpc *r, const char *address)
 {
 	const struct rpc_conn *c = g_hash_table_lookup(r->by_address, address);
 
-	return c != NULL && c->up ? c->heard_us : 0;
+	return c != NULL && c->connected ? c->last_received_us : 0;
 }
 
 bool rpc_flushed(const struct rpc *r)
@@ -636,10 +637,10 @@
 	const struct rpc_conn *c;
 
 	TAILQ_FOREACH(c, &r->conns, link) {
-		if (c->up && evbuffer_get_length(bufferevent_get_output(c->bev)) > 0)
+		if (c->connected && evbuffer_get_length(bufferevent_get_output(c->bev)) > 0)
 			return false;
 	}
-	return TAILQ_EMPTY(&r->finished);
+	return TAILQ_EMPTY(&r->local_done);
 }
 
 struct rpc *rpc_create(struct kernel *k)
@@ -649,11 +650,12 @@
 	r->kernel = k;
 	r->next_xid = (u_int)random_bits();
 	TAILQ_INIT(&r->conns);
-	TAILQ_INIT(&r->finished);
+	TAILQ_INIT(&r->local_done);
 	r->by_address = g_hash_table_new(g_str_hash, g_str_equal);
-	r->finish = event_new(k->base, -1, 0, rpc_finish, r);
-	r->look = kernel_every(k, (int64_t)k->settings->silent_ms * USEC_PER_MSEC / RPC_LOOKS,
-			       rpc_look, r);
+	r->local_done_event = event_new(k->base, -1, 0, rpc_deliver_local, r);
+	r->silence_timer = kernel_every(
+		k, (int64_t)k->settings->silent_ms * USEC_PER_MSEC / RPC_SILENCE_CHECKS,
+		rpc_check_silence, r);
 	return r;
 }
 
@@ -671,8 +673,8 @@
 			call->cb = NULL;
 		rpc_conn_close(c);
 	}
-	event_free(r->finish);
-	event_free(r->look);
+	event_free(r->local_done_event);
+	event_free(r->silence_timer);
 	g_hash_table_destroy(r->by_address);
 	g_free(r);
 }
@@ -689,7 +691,7 @@
 	return rpc_listen(rs->rpc, s->kernel->settings->rpc_address, error);
 }
 
-/** An answer that is still in a buffer when the process ends is lost, and its caller told 08007. */
+/** Waits for buffered replies: a reply lost at exit makes its caller see the error 08007. */
 static bool rpc_service_drained(struct service *s)
 {
 	return rpc_flushed(((struct rpc_service *)s)->rpc);
--- a/src/rpc.h
+++ b/src/rpc.h
@@ -1,10 +1,11 @@
 /**
  * @file rpc.h
- * ONC RPC between daemons over libevent: libtirpc's codecs, our own transport, since the library's
- * clients block.
+ * ONC RPC between daemons over libevent, with the codecs of libtirpc. The transport is implemented
+ * here because the clients of libtirpc block.
  *
- * Each call carries an xid and the caller's incarnation, and has a deadline. An answer reaches the
- * call with its xid on the connection it was sent on, or nobody.
+ * Each call has an xid, the incarnation of the calling process and a time limit. A reply is matched
+ * to the call by xid among the open calls of the connection it arrives on; other replies are
+ * dropped.
  */
 #ifndef RPC_H
 #define RPC_H
@@ -14,9 +15,9 @@
 
 /** How a call ended. */
 enum rpc_status {
-	RPC_DONE,     /**< answered */
-	RPC_NOT_SENT, /**< never left this VM */
-	RPC_LOST,     /**< sent, and no answer came: it may have been carried out */
+	RPC_DONE,     /**< a reply was received */
+	RPC_NOT_SENT, /**< no byte of the call was sent: the peer cannot have executed it */
+	RPC_LOST,     /**< sent, but no reply was received: the peer may have executed it */
 };
 
 /** A procedure of mango.x. */
@@ -26,49 +27,56 @@
 	size_t args_size;
 	xdrproc_t res;
 	size_t res_size;
-	bool control; /**< counted as control traffic, not as callers' statements */
+	bool control; /**< counted as control traffic instead of callers' statements */
 };
 
 struct rpc;
 struct rpc_call;
 struct rpc_request;
 
-/** Answer @a rq, now or later, with rpc_reply(). @a args live until then. */
-typedef void (*rpc_handler)(struct rpc_request *rq, const void *args, void *owner);
-/** @a res is NULL but for RPC_DONE, and lives until the function returns. */
+/** Handles a request and calls rpc_reply(), now or later. @a args are valid until then. */
+typedef void (*rpc_handler)(struct rpc_request *rq, const void *args, void *ctx);
+/** Called when a call ends. @a res is NULL unless RPC_DONE, and valid during the callback. */
 typedef void (*rpc_done)(enum rpc_status status, const void *res, void *arg);
-/** The connection @a conn, on which requests came, has closed. */
-typedef void (*rpc_closed)(uint64_t conn, void *owner);
+/** Called after the connection with the number @a conn was closed. */
+typedef void (*rpc_closed)(uint64_t conn, void *ctx);
 
-/** Codec of a message without a body. */
+/** XDR codec of an empty body. */
 bool_t rpc_xdr_none(XDR *x, ...);
 
 struct rpc *rpc_create(struct kernel *k);
 void rpc_free(struct rpc *r);
-/** Listen on @a address. */
+/** Accepts connections of other daemons on @a address. */
 gboolean rpc_listen(struct rpc *r, const char *address, GError **error);
-void rpc_serve(struct rpc *r, u_int proc, rpc_handler handler, void *owner);
-void rpc_on_closed(struct rpc *r, rpc_closed cb, void *owner);
-/** Send @a args to @a address. @a cb is called once, never before this returns. */
+/** Registers the handler of the procedure @a proc; @a ctx is passed to it. */
+void rpc_serve(struct rpc *r, u_int proc, rpc_handler handler, void *ctx);
+/** Sets the callback for closed connections; @a ctx is passed to it. */
+void rpc_on_closed(struct rpc *r, rpc_closed cb, void *ctx);
+/**
+ * Calls the procedure @a proc of the daemon at @a address. @a cb is called once, never before this
+ * function returns. @param cb may be NULL
+ */
 struct rpc_call *rpc_start(struct rpc *r, const char *address, u_int proc, const void *args,
 			   int64_t timeout_us, rpc_done cb, void *arg);
-/** The caller of @a call no longer exists: @a cb won't be called. */
-void rpc_call_forget(struct rpc_call *call);
+/** Detaches the caller from @a call, which continues: its callback will not be called. */
+void rpc_call_detach(struct rpc_call *call);
+/** Sends the reply to @a rq and frees @a rq. */
 void rpc_reply(struct rpc_request *rq, const void *res);
-/** Number of the connection that @a rq came on; 0 for this process itself. */
+/** @return the number of the connection that @a rq arrived on; 0 if this process sent it */
 uint64_t rpc_request_conn(const struct rpc_request *rq);
-/** How long an answer is due from @a address while nothing at all was heard from it; 0: none is. */
+/** @return how long calls to @a address have been open without any data from it; 0: no open call */
 int64_t rpc_silent_us(const struct rpc *r, const char *address);
-/** When anything was last heard from @a address on the connection to it; 0 when none is up. */
-int64_t rpc_heard_us(const struct rpc *r, const char *address);
-/** Whether all that was written has left this VM. */
+/** @return the time of the last data from @a address on the connection to it; 0 if not connected */
+int64_t rpc_last_received_us(const struct rpc *r, const char *address);
+/** @return whether all output has been passed to the kernel, and all local replies delivered */
 bool rpc_flushed(const struct rpc *r);
 
-/** The service that owns the daemon's rpc; found by the name "rpc". */
+/** Creates the service that holds the daemon's struct rpc; its name is "rpc". */
 struct service *rpc_service_create(struct kernel *k);
+/** @return the struct rpc of the service "rpc" */
 struct rpc *rpc_of(struct kernel *k);
 
-/** Table of procedures, by number; ends after RPC_PROCS. */
+/** Table of the procedures, indexed by number; the procedure 0 is a ping. */
 #define RPC_PROCS 16
 extern const struct rpc_proc rpc_procs[RPC_PROCS];
 
--- a/src/schema.c
+++ b/src/schema.c
@@ -1,4 +1,4 @@
-/** @file schema.c Table-driven reading and checking of documents. */
+/** @file schema.c Reading, checking and writing of documents by tables of fields. */
 #include "schema.h"
 
 #include "error.h"
@@ -43,6 +43,7 @@
 	return o;
 }
 
+/** Sets the error for an invalid value. @return FALSE, for use in a return statement */
 static gboolean wrong(GError **error, const char *where, const char *key, const char *found,
 		      const char *allowed)
 {
@@ -51,7 +52,7 @@
 	return FALSE;
 }
 
-/** The value as it stands in the document, for errors. */
+/** @return the JSON text of a value for errors, shortened to 80 bytes; free with g_free() */
 static char *node_text(JsonNode *node)
 {
 	char *text = json_to_string(node, FALSE);
@@ -61,7 +62,7 @@
 	return text;
 }
 
-static bool name_ok(const char *s)
+static bool name_valid(const char *s)
 {
 	size_t len = strlen(s);
 
@@ -70,7 +71,7 @@
 		       len;
 }
 
-static bool address_ok(const char *s)
+static bool address_valid(const char *s)
 {
 	const char *colon = strrchr(s, ':');
 	char host[ADDRESS_SIZE];
@@ -86,22 +87,22 @@
 	       port < 65536;
 }
 
-static const char *const string_rules[] = {
+static const char *const allowed_strings[] = {
 	[SCHEMA_NAME] = "a name of 1 to 63 letters, digits, '-', '_' or '.'",
-	[SCHEMA_PATTERN] = "such a name, or \"*\"",
-	[SCHEMA_ADDRESS] = "\"ip:port\" with an IPv4 number",
+	[SCHEMA_PATTERN] = "\"*\" or a name of 1 to 63 letters, digits, '-', '_' or '.'",
+	[SCHEMA_ADDRESS] = "\"ip:port\" with an IPv4 address",
 	[SCHEMA_PATH] = "a text of at most 255 bytes",
 };
 
-static bool string_ok(enum schema_type type, const char *s)
+static bool string_valid(enum schema_type type, const char *s)
 {
 	switch (type) {
 	case SCHEMA_NAME:
-		return name_ok(s);
+		return name_valid(s);
 	case SCHEMA_PATTERN:
-		return strcmp(s, "*") == 0 || name_ok(s);
+		return strcmp(s, "*") == 0 || name_valid(s);
 	case SCHEMA_ADDRESS:
-		return address_ok(s);
+		return address_valid(s);
 	default:
 		return strlen(s) < SCHEMA_PATH_SIZE;
 	}
@@ -112,12 +113,12 @@
 	return type == SCHEMA_PATH ? SCHEMA_PATH_SIZE : NAME_SIZE;
 }
 
-static int choice_find(const struct schema_field *f, const char *word)
+static int choice_find(const struct schema_field *f, const char *value)
 {
 	int i;
 
 	for (i = 0; i < SCHEMA_CHOICES_MAX && f->choices[i] != NULL; i++) {
-		if (strcmp(f->choices[i], word) == 0)
+		if (strcmp(f->choices[i], value) == 0)
 			return i;
 	}
 	return -1;
@@ -145,7 +146,7 @@
 		}
 		return;
 	default:
-		snprintf(buf, size, "%s", string_rules[f->type]);
+		snprintf(buf, size, "%s", allowed_strings[f->type]);
 	}
 }
 
@@ -177,7 +178,7 @@
 		*(int *)out = choice;
 		return true;
 	}
-	if (!string_ok(f->type, s))
+	if (!string_valid(f->type, s))
 		return false;
 	g_strlcpy(out, s, string_size(f->type));
 	return true;
@@ -203,7 +204,7 @@
 	}
 }
 
-static void read_fallback(const struct schema_field *f, void *out)
+static void read_default(const struct schema_field *f, void *out)
 {
 	const char *text = f->fallback != NULL ? f->fallback : "";
 
@@ -236,7 +237,7 @@
 	if (node == NULL && f->required)
 		return wrong(error, where, f->key, "nothing", allowed);
 	if (node == NULL) {
-		read_fallback(f, out);
+		read_default(f, out);
 		return TRUE;
 	}
 	if (read_node(f, node, out))
@@ -247,8 +248,8 @@
 	return FALSE;
 }
 
-static bool key_known(const char *key, const struct schema_field *fields, unsigned n,
-		      const char *const *others)
+static bool key_allowed(const char *key, const struct schema_field *fields, unsigned n,
+			const char *const *other_keys)
 {
 	unsigned i;
 
@@ -256,11 +257,11 @@
 		if (strcmp(fields[i].key, key) == 0)
 			return true;
 	}
-	return others != NULL && g_strv_contains(others, key);
+	return other_keys != NULL && g_strv_contains(other_keys, key);
 }
 
 static gboolean check_keys(JsonObject *o, const char *where, const struct schema_field *fields,
-			   unsigned n, const char *const *others, GError **error)
+			   unsigned n, const char *const *other_keys, GError **error)
 {
 	GList *keys = json_object_get_members(o);
 	GString *known = g_string_new(NULL);
@@ -269,14 +270,14 @@
 	unsigned i;
 
 	for (l = keys; l != NULL && ok; l = l->next) {
-		if (key_known(l->data, fields, n, others))
+		if (key_allowed(l->data, fields, n, other_keys))
 			continue;
 		for (i = 0; i < n; i++)
 			g_string_append_printf(known, "%s%s", known->len > 0 ? ", " : "one of ",
 					       fields[i].key);
-		for (i = 0; others != NULL && others[i] != NULL; i++)
+		for (i = 0; other_keys != NULL && other_keys[i] != NULL; i++)
 			g_string_append_printf(known, "%s%s", known->len > 0 ? ", " : "one of ",
-					       others[i]);
+					       other_keys[i]);
 		ok = wrong(error, where, l->data, "an unknown key", known->str);
 	}
 	g_list_free(keys);
@@ -285,11 +286,11 @@
 }
 
 gboolean schema_read(JsonObject *o, const char *where, const struct schema_field *fields,
-		     unsigned n, const char *const *others, void *out, GError **error)
+		     unsigned n, const char *const *other_keys, void *out, GError **error)
 {
 	unsigned i;
 
-	if (!check_keys(o, where, fields, n, others, error))
+	if (!check_keys(o, where, fields, n, other_keys, error))
 		return FALSE;
 	for (i = 0; i < n; i++) {
 		if (!read_field(o, where, &fields[i], (char *)out + fields[i].offset, error))
--- a/src/schema.h
+++ b/src/schema.h
@@ -1,7 +1,7 @@
 /**
  * @file schema.h
- * Reads a parsed document into structs by tables of fields, and says of each wrong value where it
- * is, what was found and what is allowed.
+ * Parses TOML documents, and reads and writes structs by tables of fields. The error for an invalid
+ * value names its place in the document, the value found and the values allowed.
  */
 #ifndef SCHEMA_H
 #define SCHEMA_H
@@ -12,19 +12,21 @@
 #include <stddef.h>
 
 enum schema_type {
-	SCHEMA_NAME,	/**< char[NAME_SIZE]: letters, digits, "-_." */
-	SCHEMA_PATTERN, /**< as a name, or "*" */
-	SCHEMA_ADDRESS, /**< char[ADDRESS_SIZE]: "ip:port" */
-	SCHEMA_PATH,	/**< char[SCHEMA_PATH_SIZE]: any text */
+	SCHEMA_NAME,	/**< char[NAME_SIZE]: 1 to 63 letters, digits, "-", "_" or "." */
+	SCHEMA_PATTERN, /**< char[NAME_SIZE]: like SCHEMA_NAME, or "*" */
+	SCHEMA_ADDRESS, /**< char[ADDRESS_SIZE]: "ip:port", IPv4 */
+	SCHEMA_PATH,	/**< char[SCHEMA_PATH_SIZE]: any text that fits */
 	SCHEMA_UINT,	/**< unsigned within min and max */
 	SCHEMA_DOUBLE,	/**< double within min and max */
 	SCHEMA_BOOL,
-	SCHEMA_CHOICE, /**< int: index into the words of @a choices */
+	SCHEMA_CHOICE, /**< int: index of the value in @a choices */
 };
 
+/** Buffer size of a SCHEMA_PATH, with its terminating NUL. */
 #define SCHEMA_PATH_SIZE 256
 #define SCHEMA_CHOICES_MAX 6
 
+/** Describes one key of a table and the member of the struct that holds its value. */
 struct schema_field {
 	const char *key;
 	enum schema_type type;
@@ -32,31 +34,39 @@
 	bool required;
 	double min;
 	double max;
-	const char *fallback;			 /**< as text, for a key that is left out */
-	const char *choices[SCHEMA_CHOICES_MAX]; /**< ends with NULL */
+	const char *fallback;			 /**< default value as text; NULL: 0, false or "" */
+	const char *choices[SCHEMA_CHOICES_MAX]; /**< NULL-terminated if shorter */
 };
 
-/** Parse the TOML text of @a file. @return the document's object; free with json_object_unref(). */
+/**
+ * Parses the TOML text @a text. @param file name of the document in errors
+ * @return the root table; free with json_object_unref()
+ */
 JsonObject *schema_parse(const char *file, const char *text, GError **error);
-/** Read and parse the TOML file at @a path. */
+/** Reads and parses the TOML file at @a path. */
 JsonObject *schema_load(const char *path, GError **error);
 /**
- * Read @a o into @a out by @a fields. Keys that no field names, but for those in @a others (ends
- * with NULL), are errors.
- * @param where names the file and table in errors
+ * Reads the table @a o into the struct @a out. A key that is neither in @a fields nor in @a
+ * other_keys is an error.
+ * @param where file and table, as prefix of errors
+ * @param other_keys further keys that are allowed, ends with NULL; or NULL
  */
 gboolean schema_read(JsonObject *o, const char *where, const struct schema_field *fields,
-		     unsigned n, const char *const *others, void *out, GError **error);
-/** Write @a in as TOML lines, or as a JSON object when @a json. */
+		     unsigned n, const char *const *other_keys, void *out, GError **error);
+/** Writes the struct @a in as lines of TOML, or, if @a json, as members of a JSON object. */
 void schema_write(const struct schema_field *fields, unsigned n, const void *in, bool json,
 		  GString *out);
 /**
- * The array of tables named @a key, or NULL when there is none. @return false when it is of
- * another type.
+ * Finds the array of tables @a key in @a o. @param tables receives the array, or NULL if the key is
+ * missing
+ * @return FALSE if the value has another type
  */
 gboolean schema_tables(JsonObject *o, const char *where, const char *key, JsonArray **tables,
 		       GError **error);
-/** The table named @a key; an empty one when it is left out. The result is owned by the caller. */
+/**
+ * Finds the table @a key in @a o. @return the table, or an empty one if the key is missing, to be
+ * freed with json_object_unref(); NULL if the value has another type
+ */
 JsonObject *schema_table(JsonObject *o, const char *where, const char *key, GError **error);
 
 #endif
--- a/src/session-leave.c
+++ b/src/session-leave.c
@@ -60,7 +60,7 @@
 	bool known = false;
 
 	all->last_contact_us =
-		MAX(all->last_contact_us, rpc_heard_us(r, all->last_contact_address));
+		MAX(all->last_contact_us, rpc_last_received_us(r, all->last_contact_address));
 	if (all->last_contact_address[0] != '\0' && now - all->last_contact_us < RECENT_CONTACT_US)
 		return all->last_contact_us;
 	TAILQ_FOREACH(vm, &f->peers.vms, link) {
@@ -69,7 +69,7 @@
 		if (!vm->listed || strcmp(vm->data_center, f->peers.self->data_center) == 0)
 			continue;
 		known = true;
-		contact_us = rpc_heard_us(r, vm->address);
+		contact_us = rpc_last_received_us(r, vm->address);
 		if (contact_us <= all->last_contact_us)
 			continue;
 		all->last_contact_us = contact_us;
--- a/src/session-remote.c
+++ b/src/session-remote.c
@@ -310,7 +310,7 @@
 	}
 	log_info("owner-call-silent", LOG_STR("request", s->st.request),
 		 LOG_STR("pool", s->route.pool), LOG_STR("address", s->address));
-	rpc_call_forget(s->call);
+	rpc_call_detach(s->call);
 	s->call = NULL;
 	if (s->reader == READER_OWNER)
 		owner_report_unreachable(owner_of(session_kernel(s)), s->route.pool);
--- a/src/session.c
+++ b/src/session.c
@@ -174,7 +174,7 @@
 			 LOG_NUM("retry_after_us", a->retry_after_us));
 	stat_outcome(a->outcome);
 	session_count_outcome(s, a->outcome);
-	stat_time(time_metric_of(s, a->outcome), now_us() - s->started_us);
+	stat_add_time(time_metric_of(s, a->outcome), now_us() - s->started_us);
 	s->ops->answer(s, a, s->arg);
 }
 
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,4 +1,10 @@
-/** @file settings.h The settings of one daemon, read once from a TOML file. */
+/**
+ * @file settings.h
+ * The settings of one daemon, read once from a TOML file.
+ *
+ * Terms: a member is a database server of a group; the owner is the VM that holds a group's
+ * connections and manages its primary.
+ */
 #ifndef SETTINGS_H
 #define SETTINGS_H
 
@@ -7,10 +13,11 @@
 
 #define SETTINGS_ADDRESSES_MAX 5
 
-/** Which platform's protocols the daemon speaks. */
+/** The platform that the daemon runs on, which determines the protocols it uses. */
 enum settings_platform {
-	PLATFORM_ETCD,	   /**< etcd's gateway, PostgreSQL to callers and members */
-	PLATFORM_PREPARED, /**< platform/platform-adapter.h */
+	PLATFORM_ETCD, /**< store: etcd's gRPC gateway; callers and members: PostgreSQL's protocol
+			*/
+	PLATFORM_PREPARED, /**< store, callers and members: see platform/platform-adapter.h */
 };
 
 struct settings {
@@ -18,46 +25,50 @@
 	char data_center[NAME_SIZE];
 	char caller_address[ADDRESS_SIZE];
 	char rpc_address[ADDRESS_SIZE];
-	char advertise[ADDRESS_SIZE]; /**< RPC address told to others; rpc_address when empty */
-	double grace_s; /**< from the request to stop to the kill; sets drain_ms when not 0 */
-	unsigned drain_ms;
-	unsigned leave_ms;    /**< a member that leaves may get statements for so long */
-	unsigned evacuate_ms; /**< the same for one whose data centre is evacuated */
+	char advertise[ADDRESS_SIZE]; /**< RPC address published to peers; empty: rpc_address */
+	double grace_s; /**< time from the request to stop to the kill; if not 0, sets drain_ms */
+	unsigned drain_ms;	  /**< time limit of a graceful shutdown */
+	unsigned member_leave_ms; /**< how long a member that leaves may still get statements */
+	unsigned evacuate_ms;	  /**< how long a member in an evacuated data centre may still get
+				     statements */
 
-	char ready_address[ADDRESS_SIZE];   /**< answers whether this VM takes callers; may be empty
-					     */
-	char metrics_address[ADDRESS_SIZE]; /**< counters as text; may be empty */
+	char ready_address[ADDRESS_SIZE];   /**< HTTP readiness check; may be empty */
+	char metrics_address[ADDRESS_SIZE]; /**< HTTP metrics; may be empty */
 
-	int platform_kind;		     /**< enum settings_platform */
-	char promoter_address[ADDRESS_SIZE]; /**< takes orders to promote; PLATFORM_PREPARED only */
-	char platform[SETTINGS_ADDRESSES_MAX][ADDRESS_SIZE];
+	int platform_kind;				     /**< enum settings_platform */
+	char promoter_address[ADDRESS_SIZE];		     /**< service that executes promotions;
+								PLATFORM_PREPARED only */
+	char platform[SETTINGS_ADDRESSES_MAX][ADDRESS_SIZE]; /**< endpoints of the store */
 	unsigned platforms;
 	unsigned platform_timeout_ms;
 
-	unsigned callers_max;
-	unsigned idle_ms;    /**< a caller that sends nothing is dropped after this */
-	unsigned message_ms; /**< time for a started message to arrive whole */
-	unsigned message_max;
-	unsigned result_max;
-	unsigned deadline_ms; /**< of a request whose route gives none */
+	unsigned callers_max; /**< limit of open connections of callers */
+	unsigned idle_ms;     /**< a caller's connection without input for this long is closed */
+	unsigned message_ms;  /**< time limit from the first byte of a message to its last */
+	unsigned message_max; /**< limit of a caller's message in bytes */
+	unsigned result_max;  /**< limit of a statement's result in bytes */
+	unsigned deadline_ms; /**< time limit of a request whose route sets none */
 
 	char tls_certificate[SCHEMA_PATH_SIZE];
 	char tls_key[SCHEMA_PATH_SIZE];
 	bool tls_required;
 
-	unsigned stale_keys_ms; /**< how long keys are trusted without news; 0: for ever */
+	unsigned stale_keys_ms; /**< how long API keys are accepted while the configuration is not
+				   confirmed as current; 0: for ever */
 
 	char seed[SETTINGS_ADDRESSES_MAX]
-		 [ADDRESS_SIZE]; /**< RPC addresses of peers to ask while the platform is down */
+		 [ADDRESS_SIZE]; /**< RPC addresses of peers to fetch the configuration from while
+				    the platform is down */
 	unsigned seeds;
-	char rpc_secret[SCHEMA_PATH_SIZE];
+	char rpc_secret[SCHEMA_PATH_SIZE]; /**< key of the hash on RPC messages; empty: no hash */
 	unsigned heartbeat_ms;
-	unsigned silent_ms; /**< an RPC connection without an answer for this long is replaced */
+	unsigned silent_ms; /**< an RPC connection with unanswered calls and no input for this long
+			       is closed */
 
-	unsigned probe_ms; /**< between two looks at a database member */
+	unsigned probe_ms; /**< interval between probes of a database member */
 	unsigned probe_timeout_ms;
-	unsigned queue_max;	     /**< waiting requests of one member */
-	unsigned hold_connection_ms; /**< an unused database connection is closed after this */
+	unsigned queue_max;	     /**< limit of queued requests of one member */
+	unsigned hold_connection_ms; /**< an idle database connection is closed after this time */
 
 	double rate_window_s; /**< see struct share_tolerance */
 	double rate_overshoot;
@@ -69,9 +80,9 @@
 	char trace_path[SCHEMA_PATH_SIZE];
 };
 
-/** Name of the log level that was set. */
+/** @return the name of the configured log level */
 const char *settings_log_level(const struct settings *s);
-/** Read and check the file. */
+/** Reads and checks the settings file at @a path. */
 gboolean settings_load(const char *path, struct settings *s, GError **error);
 
 #endif
--- a/src/shares-report.c
+++ b/src/shares-report.c
@@ -225,10 +225,11 @@
 static void request_report(struct kernel *k, const char *name, const char *team, unsigned role)
 {
 	const struct vm *vm = peers_find(&fleet_of(k)->peers, name);
-	ml_poke args = {.team = (char *)team, .allocator = role};
+	ml_report_request args = {.team = (char *)team, .allocator = role};
 
 	if (vm != NULL)
-		rpc_start(rpc_of(k), vm->address, ML_POKE, &args, REPORT_TIMEOUT_US, NULL, NULL);
+		rpc_start(rpc_of(k), vm->address, ML_REPORT_REQUEST, &args, REPORT_TIMEOUT_US, NULL,
+			  NULL);
 }
 
 /** Requests reports from holders that must give up units which other holders wait for. */
@@ -279,7 +280,7 @@
 
 static void report_request_serve(struct rpc_request *rq, const void *args, void *owner)
 {
-	const ml_poke *a = args;
+	const ml_report_request *a = args;
 	struct shares *s = owner;
 	struct shares_team *t = shares_team(s, a->team);
 	ml_none res = {.ok = true};
@@ -368,5 +369,5 @@
 void report_serve(struct shares *s)
 {
 	rpc_serve(rpc_of(s->service.kernel), ML_SHARE, share_serve, s);
-	rpc_serve(rpc_of(s->service.kernel), ML_POKE, report_request_serve, s);
+	rpc_serve(rpc_of(s->service.kernel), ML_REPORT_REQUEST, report_request_serve, s);
 }
--- a/src/stat.c
+++ b/src/stat.c
@@ -1,14 +1,14 @@
-/** @file stat.c Counters. */
+/** @file stat.c Counters and histograms. */
 #include "stat.h"
 
-/** Upper ends of the histograms' buckets: from a local answer to the longest deadline. */
+/** Upper bounds of the buckets: from the time of a local answer (0.5 ms) to 5 s. */
 static const int64_t bounds_us[] = {500,    1000,   2000,   5000,    10000,   20000,  50000,
 				    100000, 200000, 500000, 1000000, 2000000, 5000000};
 #define BUCKETS (sizeof(bounds_us) / sizeof(bounds_us[0]))
 
 struct histogram {
-	uint64_t bucket[BUCKETS + 1]; /**< the last is for all above */
-	uint64_t n;
+	uint64_t bucket[BUCKETS + 1]; /**< not cumulative; the last has no upper bound */
+	uint64_t n;		      /**< total count */
 	int64_t sum_us;
 };
 
@@ -17,7 +17,7 @@
 static const struct {
 	const char *name;
 	const char *label;
-} times[STAT_TIMES] = {
+} time_labels[STAT_TIMES] = {
 	[STAT_TIME_PRIMARY] = {"statement", "kind=\"primary\""},
 	[STAT_TIME_BOUNDED] = {"statement", "kind=\"bounded\""},
 	[STAT_TIME_SESSION] = {"statement", "kind=\"session\""},
@@ -25,7 +25,7 @@
 	[STAT_TIME_QUEUE] = {"stage", "stage=\"queue\""},
 	[STAT_TIME_MEMBER] = {"stage", "stage=\"member\""},
 	[STAT_TIME_STORE] = {"stage", "stage=\"store\""},
-	[STAT_TIME_CHANGE] = {"stage", "stage=\"change-of-primary\""},
+	[STAT_TIME_PRIMARY_CHANGE] = {"stage", "stage=\"change-of-primary\""},
 };
 
 static uint64_t counters[STATS];
@@ -53,7 +53,7 @@
 	[STAT_COMMITS_DISCARDED] = "commits_discarded",
 	[STAT_CONFIRMS] = "confirms",
 	[STAT_CONFIRMS_LOST] = "confirms_lost",
-	[STAT_FATES_ASKED] = "fates_asked",
+	[STAT_COMMIT_STATUS_QUERIES] = "fates_asked",
 	[STAT_RPC_CALLS] = "rpc_calls",
 	[STAT_RPC_LOST] = "rpc_lost",
 	[STAT_RPC_BYTES_IN] = "rpc_bytes_in",
@@ -74,7 +74,7 @@
 
 static struct {
 	const char *name;
-	uint64_t messages[2], bytes[2]; /**< out, in */
+	uint64_t messages[2], bytes[2]; /**< [0]: sent, [1]: received */
 } procedures[STAT_PROCEDURES_MAX];
 
 void stat_message(unsigned procedure, const char *name, uint64_t bytes, bool in)
@@ -106,7 +106,7 @@
 	}
 }
 
-void stat_time(enum stat_time_id id, int64_t us)
+void stat_add_time(enum stat_time_id id, int64_t us)
 {
 	struct histogram *h = &histograms[id];
 	unsigned i = 0;
@@ -121,21 +121,21 @@
 static void put_histogram(struct evbuffer *out, enum stat_time_id id)
 {
 	const struct histogram *h = &histograms[id];
-	uint64_t below = 0;
+	uint64_t cumulative = 0;
 	unsigned i;
 
 	for (i = 0; i < BUCKETS; i++) {
-		below += h->bucket[i];
+		cumulative += h->bucket[i];
 		evbuffer_add_printf(out, "mangoloom_%s_seconds_bucket{%s,le=\"%g\"} %lu\n",
-				    times[id].name, times[id].label, (double)bounds_us[i] / 1e6,
-				    below);
+				    time_labels[id].name, time_labels[id].label,
+				    (double)bounds_us[i] / 1e6, cumulative);
 	}
 	evbuffer_add_printf(out, "mangoloom_%s_seconds_bucket{%s,le=\"+Inf\"} %lu\n",
-			    times[id].name, times[id].label, h->n);
-	evbuffer_add_printf(out, "mangoloom_%s_seconds_sum{%s} %.6f\n", times[id].name,
-			    times[id].label, (double)h->sum_us / 1e6);
-	evbuffer_add_printf(out, "mangoloom_%s_seconds_count{%s} %lu\n", times[id].name,
-			    times[id].label, h->n);
+			    time_labels[id].name, time_labels[id].label, h->n);
+	evbuffer_add_printf(out, "mangoloom_%s_seconds_sum{%s} %.6f\n", time_labels[id].name,
+			    time_labels[id].label, (double)h->sum_us / 1e6);
+	evbuffer_add_printf(out, "mangoloom_%s_seconds_count{%s} %lu\n", time_labels[id].name,
+			    time_labels[id].label, h->n);
 }
 
 void stat_outcome(enum outcome o)
@@ -143,7 +143,7 @@
 	outcomes[o]++;
 }
 
-static void put(JsonBuilder *b, const char *name, uint64_t value)
+static void put_counter(JsonBuilder *b, const char *name, uint64_t value)
 {
 	json_builder_set_member_name(b, name);
 	json_builder_add_int_value(b, (gint64)value);
@@ -154,11 +154,11 @@
 	unsigned i;
 
 	for (i = 0; i < STATS; i++)
-		put(b, names[i], counters[i]);
+		put_counter(b, names[i], counters[i]);
 	json_builder_set_member_name(b, "outcomes");
 	json_builder_begin_object(b);
 	for (i = 0; i < OUTCOMES; i++)
-		put(b, outcome_text((enum outcome)i)->name, outcomes[i]);
+		put_counter(b, outcome_text((enum outcome)i)->name, outcomes[i]);
 	json_builder_end_object(b);
 }
 
--- a/src/stat.h
+++ b/src/stat.h
@@ -1,6 +1,11 @@
 /**
  * @file stat.h
- * Counters of our own: named, process-wide, only ever rising; read by `mangoloom status`.
+ * Process-wide counters, which never decrease, and histograms of times. `mangoloom status` shows
+ * the counters; the metrics endpoint serves both.
+ *
+ * Terms: the entry is the daemon a caller is connected to, the home is the daemon that holds the
+ * connections and the queue of a member (a database server of a group), the owner is the VM that
+ * holds a group's connections and manages its primary.
  */
 #ifndef STAT_H
 #define STAT_H
@@ -30,10 +35,10 @@
 	STAT_CONNECTIONS_LOST,
 	STAT_FAILOVERS_BEGUN,
 	STAT_FAILOVERS_DONE,
-	STAT_COMMITS_DISCARDED, /**< acknowledged, and lost by a promotion, at most */
+	STAT_COMMITS_DISCARDED, /**< upper bound of the acknowledged commits lost by promotions */
 	STAT_CONFIRMS,
 	STAT_CONFIRMS_LOST,
-	STAT_FATES_ASKED,
+	STAT_COMMIT_STATUS_QUERIES,
 	STAT_RPC_CALLS,
 	STAT_RPC_LOST,
 	STAT_RPC_BYTES_IN,
@@ -48,32 +53,33 @@
 	STATS
 };
 
-/** What is timed; each is a histogram. */
+/** Times that are measured, one histogram each; those of statements are measured at the entry. */
 enum stat_time_id {
-	STAT_TIME_PRIMARY, /**< a statement of a route that reads all writes, at its entry */
-	STAT_TIME_BOUNDED, /**< the same, of a route with a bound on age */
-	STAT_TIME_SESSION, /**< the same, of a route that reads its session's writes */
-	STAT_TIME_REFUSED, /**< until a statement was refused */
-	STAT_TIME_QUEUE,   /**< a statement's wait at the owner or reader */
-	STAT_TIME_MEMBER,  /**< from sending a statement to a member until its answer */
-	STAT_TIME_STORE,   /**< a call to the store; waits of watches are left out */
-	STAT_TIME_CHANGE,  /**< from the end of one primary's service to the begin of the next one's
-			    */
+	STAT_TIME_PRIMARY, /**< statement of a route that reads all writes */
+	STAT_TIME_BOUNDED, /**< statement of a route with bounded staleness */
+	STAT_TIME_SESSION, /**< statement of a route that reads its session's writes */
+	STAT_TIME_REFUSED, /**< refused statement */
+	STAT_TIME_QUEUE,   /**< wait of a statement in the queue of the owner or reader */
+	STAT_TIME_MEMBER,  /**< from sending a statement to a member to the end of its answer */
+	STAT_TIME_STORE,   /**< call to the store, except watches */
+	STAT_TIME_PRIMARY_CHANGE, /**< from the end of service by one primary to its start by the
+				     next */
 	STAT_TIMES
 };
 
-/** Note that something took @a us. */
-void stat_time(enum stat_time_id id, int64_t us);
+/** Adds a time of @a us to the histogram @a id. */
+void stat_add_time(enum stat_time_id id, int64_t us);
+/** Increases the counter @a id by @a n. */
 void stat_add(enum stat_id id, uint64_t n);
-/** Procedures of the protocol between daemons whose messages are counted apart, at most. */
+/** Limit of the procedure numbers whose messages are counted by procedure. */
 #define STAT_PROCEDURES_MAX 32
-/** Count a message of @a bytes of the procedure numbered @a procedure. */
+/** Counts a message of the RPC procedure @a procedure. @param in whether it was received */
 void stat_message(unsigned procedure, const char *name, uint64_t bytes, bool in);
-/** Count one request's final outcome. */
+/** Counts the final outcome of a request. */
 void stat_outcome(enum outcome o);
-/** Write all counters as members of the open JSON object of @a b. */
+/** Writes all counters as members of the JSON object that is open in @a b. */
 void stat_json(JsonBuilder *b);
-/** Write all counters in Prometheus' text format. */
+/** Writes all counters and histograms in Prometheus' text format. */
 void stat_text(struct evbuffer *out);
 
 #endif
--- a/src/status.c
+++ b/src/status.c
@@ -1,4 +1,4 @@
-/** @file status.c The service that tells of this daemon, and stops it. */
+/** @file status.c Serves the status of this daemon as JSON, and requests to stop it. */
 #include "status.h"
 
 #include "caller.h"
@@ -48,18 +48,18 @@
 	return json_text_take(b);
 }
 
-static void status_serve(struct rpc_request *rq, const void *args, void *owner)
+static void status_serve(struct rpc_request *rq, const void *args, void *ctx)
 {
-	struct service *s = owner;
+	struct service *s = ctx;
 	ml_status_res res = {.json = status_json(s->kernel)};
 
 	rpc_reply(rq, &res);
 	g_free(res.json);
 }
 
-static void stop_serve(struct rpc_request *rq, const void *args, void *owner)
+static void stop_serve(struct rpc_request *rq, const void *args, void *ctx)
 {
-	struct service *s = owner;
+	struct service *s = ctx;
 	ml_status_res res = {.json = "{}"};
 
 	rpc_reply(rq, &res);
--- a/src/status.h
+++ b/src/status.h
@@ -1,4 +1,4 @@
-/** @file status.h Answers `mangoloom status` and `mangoloom stop`. */
+/** @file status.h The service that serves `mangoloom status` and `mangoloom stop` by RPC. */
 #ifndef STATUS_H
 #define STATUS_H
 
--- a/src/table.c
+++ b/src/table.c
@@ -1,4 +1,4 @@
-/** @file table.c Routes, pools, teams and keys in their text forms. */
+/** @file table.c Reading and writing of configuration entries as TOML and JSON. */
 #include "table.h"
 
 #include "error.h"
@@ -7,60 +7,61 @@
 #include <sodium.h>
 #include <string.h>
 
-#define F(st, field, k, t, ...)                                                                    \
+#define FIELD(st, field, k, t, ...)                                                                \
 	{                                                                                          \
 		.key = (k), .type = (t), .offset = offsetof(struct st, field), __VA_ARGS__         \
 	}
 #define DAY_MS 86400000.0
 
 static const struct schema_field route_fields[] = {
-	F(conf_route, name, "name", SCHEMA_NAME, .required = true),
-	F(conf_route, team, "team", SCHEMA_PATTERN, .fallback = "*"),
-	F(conf_route, kind, "kind", SCHEMA_PATTERN, .fallback = "*"),
-	F(conf_route, pool, "pool", SCHEMA_NAME, .required = true),
-	F(conf_route, write, "write", SCHEMA_BOOL, .fallback = "true"),
-	F(conf_route, max_age_ms, "max_age_ms", SCHEMA_UINT, .min = 0, .max = DAY_MS,
-	  .fallback = "0"),
-	F(conf_route, deadline_ms, "deadline_ms", SCHEMA_UINT, .min = 0, .max = DAY_MS,
-	  .fallback = "0"),
-	F(conf_route, mode, "mode", SCHEMA_CHOICE, .fallback = "declared",
-	  .choices = {"declared", "primary", "bounded", "session"}),
-	F(conf_route, target_latency_ms, "aim_ms", SCHEMA_UINT, .min = 0, .max = DAY_MS,
-	  .fallback = "0"),
-	F(conf_route, priority, "priority", SCHEMA_UINT, .min = 0, .max = 1000, .fallback = "1"),
-	F(conf_route, anonymous, "anonymous", SCHEMA_BOOL, .fallback = "false"),
-	F(conf_route, idle_tx_ms, "idle_tx_ms", SCHEMA_UINT, .min = 0, .max = DAY_MS,
-	  .fallback = "0"),
+	FIELD(conf_route, name, "name", SCHEMA_NAME, .required = true),
+	FIELD(conf_route, team, "team", SCHEMA_PATTERN, .fallback = "*"),
+	FIELD(conf_route, kind, "kind", SCHEMA_PATTERN, .fallback = "*"),
+	FIELD(conf_route, pool, "pool", SCHEMA_NAME, .required = true),
+	FIELD(conf_route, write, "write", SCHEMA_BOOL, .fallback = "true"),
+	FIELD(conf_route, max_age_ms, "max_age_ms", SCHEMA_UINT, .min = 0, .max = DAY_MS,
+	      .fallback = "0"),
+	FIELD(conf_route, deadline_ms, "deadline_ms", SCHEMA_UINT, .min = 0, .max = DAY_MS,
+	      .fallback = "0"),
+	FIELD(conf_route, mode, "mode", SCHEMA_CHOICE, .fallback = "declared",
+	      .choices = {"declared", "primary", "bounded", "session"}),
+	FIELD(conf_route, target_latency_ms, "aim_ms", SCHEMA_UINT, .min = 0, .max = DAY_MS,
+	      .fallback = "0"),
+	FIELD(conf_route, priority, "priority", SCHEMA_UINT, .min = 0, .max = 1000,
+	      .fallback = "1"),
+	FIELD(conf_route, anonymous, "anonymous", SCHEMA_BOOL, .fallback = "false"),
+	FIELD(conf_route, idle_tx_ms, "idle_tx_ms", SCHEMA_UINT, .min = 0, .max = DAY_MS,
+	      .fallback = "0"),
 };
 
 static const struct schema_field team_fields[] = {
-	F(conf_team, name, "name", SCHEMA_NAME, .required = true),
-	F(conf_team, rate, "rate", SCHEMA_DOUBLE, .required = true, .min = 0.001, .max = 1e9),
-	F(conf_team, burst, "burst", SCHEMA_DOUBLE, .required = true, .min = 1, .max = 1e9),
+	FIELD(conf_team, name, "name", SCHEMA_NAME, .required = true),
+	FIELD(conf_team, rate, "rate", SCHEMA_DOUBLE, .required = true, .min = 0.001, .max = 1e9),
+	FIELD(conf_team, burst, "burst", SCHEMA_DOUBLE, .required = true, .min = 1, .max = 1e9),
 };
 
 static const struct schema_field pool_fields[] = {
-	F(conf_pool, name, "name", SCHEMA_NAME, .required = true),
-	F(conf_pool, confirm, "confirm", SCHEMA_CHOICE, .fallback = "replica",
-	  .choices = {"replica", "primary"}),
-	F(conf_pool, sync, "sync_replicas", SCHEMA_UINT, .min = 0, .max = GROUP_MEMBERS_MAX,
-	  .fallback = "0"),
+	FIELD(conf_pool, name, "name", SCHEMA_NAME, .required = true),
+	FIELD(conf_pool, confirm, "confirm", SCHEMA_CHOICE, .fallback = "replica",
+	      .choices = {"replica", "primary"}),
+	FIELD(conf_pool, sync, "sync_replicas", SCHEMA_UINT, .min = 0, .max = GROUP_MEMBERS_MAX,
+	      .fallback = "0"),
 };
 
 static const struct schema_field member_fields[] = {
-	F(conf_member, name, "name", SCHEMA_NAME, .required = true),
-	F(conf_member, address, "address", SCHEMA_ADDRESS, .required = true),
-	F(conf_member, data_center, "data_center", SCHEMA_NAME, .required = true),
-	F(conf_member, slots, "slots", SCHEMA_UINT, .min = 1, .max = 1024, .fallback = "2"),
-	F(conf_member, connections, "connections", SCHEMA_UINT, .min = 4, .max = 65536,
-	  .fallback = "16"),
-	F(conf_member, leaving, "leaving", SCHEMA_BOOL, .fallback = "false"),
-	F(conf_member, cold, "cold", SCHEMA_BOOL, .fallback = "false"),
-	F(conf_member, cold_per_s, "cold_per_s", SCHEMA_DOUBLE, .min = 0, .max = 1e6,
-	  .fallback = "0"),
+	FIELD(conf_member, name, "name", SCHEMA_NAME, .required = true),
+	FIELD(conf_member, address, "address", SCHEMA_ADDRESS, .required = true),
+	FIELD(conf_member, data_center, "data_center", SCHEMA_NAME, .required = true),
+	FIELD(conf_member, slots, "slots", SCHEMA_UINT, .min = 1, .max = 1024, .fallback = "2"),
+	FIELD(conf_member, connections, "connections", SCHEMA_UINT, .min = 4, .max = 65536,
+	      .fallback = "16"),
+	FIELD(conf_member, leaving, "leaving", SCHEMA_BOOL, .fallback = "false"),
+	FIELD(conf_member, cold, "cold", SCHEMA_BOOL, .fallback = "false"),
+	FIELD(conf_member, cold_per_s, "cold_per_s", SCHEMA_DOUBLE, .min = 0, .max = 1e6,
+	      .fallback = "0"),
 };
 
-/** A key's entry holds its hash as hexadecimal text. */
+/** The entry of a key as text: with the hash in hexadecimal. */
 struct key_text {
 	char id[NAME_SIZE];
 	char team[NAME_SIZE];
@@ -69,28 +70,28 @@
 };
 
 static const struct schema_field key_fields[] = {
-	F(key_text, id, "id", SCHEMA_NAME, .required = true),
-	F(key_text, team, "team", SCHEMA_NAME, .required = true),
-	F(key_text, hash, "hash", SCHEMA_PATH, .required = true),
-	F(key_text, withdrawn, "withdrawn", SCHEMA_BOOL, .fallback = "false"),
+	FIELD(key_text, id, "id", SCHEMA_NAME, .required = true),
+	FIELD(key_text, team, "team", SCHEMA_NAME, .required = true),
+	FIELD(key_text, hash, "hash", SCHEMA_PATH, .required = true),
+	FIELD(key_text, withdrawn, "withdrawn", SCHEMA_BOOL, .fallback = "false"),
 };
 
 static const struct schema_field evacuation_fields[] = {
-	F(conf_evacuation, data_center, "data_center", SCHEMA_NAME, .required = true),
+	FIELD(conf_evacuation, data_center, "data_center", SCHEMA_NAME, .required = true),
 };
 
 static const struct schema_field document_fields[] = {
-	F(conf_document, name, "name", SCHEMA_NAME, .required = true),
-	F(conf_document, version, "version", SCHEMA_DOUBLE, .required = true, .min = 0,
-	  .max = 9e15),
+	FIELD(conf_document, name, "name", SCHEMA_NAME, .required = true),
+	FIELD(conf_document, version, "version", SCHEMA_DOUBLE, .required = true, .min = 0,
+	      .max = 9e15),
 };
 
-/** Each kind of entry: its place in the files and its fields. */
+/** The kinds of entries: name in ids and files, fields, and table; TABLES: in none. */
 static const struct kind {
 	const char *prefix;
 	const struct schema_field *fields;
 	unsigned n;
-	enum table_which table;
+	enum table_id table;
 } kinds[CONF_KINDS] = {
 	[CONF_ROUTE] = {"route", route_fields, G_N_ELEMENTS(route_fields), TABLE_ROUTES},
 	[CONF_POOL] = {"pool", pool_fields, G_N_ELEMENTS(pool_fields), TABLE_POOLS},
@@ -101,19 +102,19 @@
 	[CONF_DOCUMENT] = {"document", document_fields, G_N_ELEMENTS(document_fields), TABLES},
 };
 
-static const char *const member_key[] = {"member", NULL};
+static const char *const pool_other_keys[] = {"member", NULL};
 
-const char *table_name(enum table_which which)
+const char *table_name(enum table_id which)
 {
 	return which == TABLE_ROUTES ? "routes" : "pools";
 }
 
-bool table_holds(enum table_which which, enum conf_kind kind)
+bool table_holds(enum table_id which, enum conf_kind kind)
 {
 	return kinds[kind].table == which;
 }
 
-/** Read one struct of @a kind into @a e. */
+/** @return the struct in @a e that belongs to its kind */
 static void *entry_body(struct conf_entry *e)
 {
 	switch (e->kind) {
@@ -179,7 +180,7 @@
 			   NULL) != 0 ||
 	    len != KEY_HASH_SIZE) {
 		g_set_error(error, ML_ERROR, ML_ERROR_SETTINGS,
-			    "%s: hash: found another text; allowed: %d hex digits", where,
+			    "%s: hash: found an invalid hash; allowed: %d hex digits", where,
 			    2 * KEY_HASH_SIZE);
 		return FALSE;
 	}
@@ -195,13 +196,16 @@
 
 	if (e->kind == CONF_KEY)
 		return read_key(o, where, &e->key, error);
-	if (!schema_read(o, where, k->fields, k->n, e->kind == CONF_POOL ? member_key : NULL,
+	if (!schema_read(o, where, k->fields, k->n, e->kind == CONF_POOL ? pool_other_keys : NULL,
 			 entry_body(e), error))
 		return FALSE;
 	return e->kind != CONF_POOL || read_members(o, where, &e->pool, error);
 }
 
-/** The entry's text, in JSON, always the same for the same content. */
+/**
+ * Returns the JSON text of an entry, to be freed with g_free(). Entries with equal content have
+ * equal texts.
+ */
 static char *body_text(struct conf_entry *e)
 {
 	GString *out = g_string_new("{");
@@ -245,7 +249,7 @@
 	JsonNode *root;
 
 	if (!ok) {
-		g_set_error(error, ML_ERROR, ML_ERROR_SETTINGS, "entry %s: is of no known kind",
+		g_set_error(error, ML_ERROR, ML_ERROR_SETTINGS, "entry %s: unknown kind of entry",
 			    id);
 		goto out;
 	}
@@ -258,7 +262,8 @@
 	root = json_parser_get_root(parser);
 	ok = root != NULL && JSON_NODE_HOLDS_OBJECT(root);
 	if (!ok) {
-		g_set_error(error, ML_ERROR, ML_ERROR_SETTINGS, "entry %s: is no object", id);
+		g_set_error(error, ML_ERROR, ML_ERROR_SETTINGS,
+			    "entry %s: text is not a JSON object", id);
 		goto out;
 	}
 	ok = read_body(json_node_get_object(root), id, e, error);
@@ -311,8 +316,8 @@
 	return e;
 }
 
-static gboolean add_entry(struct table *t, const char *file, enum conf_kind kind, JsonObject *o,
-			  guint at, GError **error)
+static gboolean read_entry(struct table *t, const char *file, enum conf_kind kind, JsonObject *o,
+			   guint at, GError **error)
 {
 	char *where = g_strdup_printf("%s: %s %u", file, kinds[kind].prefix, at + 1);
 	struct conf_entry *e = conf_entry_create("", 0, "");
@@ -352,8 +357,8 @@
 	return TRUE;
 }
 
-static gboolean add_kind(struct table *t, const char *file, enum conf_kind kind, JsonObject *root,
-			 GError **error)
+static gboolean read_entries(struct table *t, const char *file, enum conf_kind kind,
+			     JsonObject *root, GError **error)
 {
 	JsonArray *list;
 	guint i;
@@ -361,13 +366,13 @@
 	if (!schema_tables(root, file, kinds[kind].prefix, &list, error))
 		return FALSE;
 	for (i = 0; list != NULL && i < json_array_get_length(list); i++) {
-		if (!add_entry(t, file, kind, json_array_get_object_element(list, i), i, error))
+		if (!read_entry(t, file, kind, json_array_get_object_element(list, i), i, error))
 			return FALSE;
 	}
 	return TRUE;
 }
 
-gboolean table_parse(const char *file, const char *text, enum table_which which, struct table *t,
+gboolean table_parse(const char *file, const char *text, enum table_id which, struct table *t,
 		     GError **error)
 {
 	static const struct schema_field base_field = {.key = "base_version",
@@ -393,14 +398,14 @@
 	ok = schema_read(root, file, &base_field, 1, known, &base, error);
 	for (kind = 0; kind < CONF_KINDS && ok; kind++) {
 		if (table_holds(which, (enum conf_kind)kind))
-			ok = add_kind(t, file, (enum conf_kind)kind, root, error);
+			ok = read_entries(t, file, (enum conf_kind)kind, root, error);
 	}
 	t->base = (uint64_t)base;
 	json_object_unref(root);
 	return ok;
 }
 
-gboolean table_load(const char *path, enum table_which which, struct table *t, GError **error)
+gboolean table_load(const char *path, enum table_id which, struct table *t, GError **error)
 {
 	gboolean ok;
 	char *text;
@@ -433,8 +438,8 @@
 	return false;
 }
 
-gboolean table_check_joined(const char *file, const GPtrArray *routes, const GPtrArray *pools,
-			    GError **error)
+gboolean table_check_pool_references(const char *file, const GPtrArray *routes,
+				     const GPtrArray *pools, GError **error)
 {
 	guint i;
 
@@ -451,7 +456,7 @@
 	return TRUE;
 }
 
-char *table_to_toml(const GPtrArray *entries, enum table_which which, uint64_t base)
+char *table_to_toml(const GPtrArray *entries, enum table_id which, uint64_t base)
 {
 	GString *out = g_string_new(NULL);
 	unsigned j;
--- a/src/table.h
+++ b/src/table.h
@@ -1,47 +1,54 @@
 /**
  * @file table.h
- * The operators' two tables and the keys, between their forms: TOML files, the texts of
- * configuration entries, and the structs that decisions use.
+ * Converts the configuration between its forms: the operators' tables as TOML files, the JSON text
+ * of each configuration entry as stored and sent between VMs, and the structs of conf.h. The table
+ * "routes" has routes and teams, the table "pools" has pools. A pool is a database group as
+ * configured, with its members.
  */
 #ifndef TABLE_H
 #define TABLE_H
 
 #include "conf.h"
 
-enum table_which { TABLE_ROUTES, TABLE_POOLS, TABLES };
+enum table_id { TABLE_ROUTES, TABLE_POOLS, TABLES };
 
-/** What a table's file held. */
+/** The content of a table's file. */
 struct table {
-	enum table_which which;
-	GPtrArray *entries; /**< of conf_entry, version 0 */
-	uint64_t base;	    /**< base_version in the file; 0 when it has none */
+	enum table_id which;
+	GPtrArray *entries; /**< of struct conf_entry, with version 0 */
+	uint64_t base;	    /**< base_version in the file; 0 if missing */
 };
 
-/** Name of a table on the command line: "routes" or "pools". */
-const char *table_name(enum table_which which);
-/** Whether entries of @a kind belong to the table. */
-bool table_holds(enum table_which which, enum conf_kind kind);
+/** @return the name of a table on the command line: "routes" or "pools" */
+const char *table_name(enum table_id which);
+/** @return whether entries of @a kind belong to the table @a which */
+bool table_holds(enum table_id which, enum conf_kind kind);
 
-/** Read and check a table's file as a whole. Free with table_clear(). */
-gboolean table_load(const char *path, enum table_which which, struct table *t, GError **error);
-gboolean table_parse(const char *file, const char *text, enum table_which which, struct table *t,
+/** Reads and checks the table's file at @a path; free @a t with table_clear(), also on failure. */
+gboolean table_load(const char *path, enum table_id which, struct table *t, GError **error);
+/** Like table_load(), for the text @a text; @a file is its name in errors. */
+gboolean table_parse(const char *file, const char *text, enum table_id which, struct table *t,
 		     GError **error);
 void table_clear(struct table *t);
-/** Check that each route's pool is among the pools. */
-gboolean table_check_joined(const char *file, const GPtrArray *routes, const GPtrArray *pools,
-			    GError **error);
+/** Checks that the pool of each route exists. @param file name of the routes' file in errors */
+gboolean table_check_pool_references(const char *file, const GPtrArray *routes,
+				     const GPtrArray *pools, GError **error);
 /**
- * The table's entries of @a entries (conf_entry) as TOML, with the base version that an edit
- * starts from.
+ * Writes those of @a entries (struct conf_entry) that belong to the table as TOML, and @a base as
+ * its base_version, by which a later upload detects concurrent changes. @return text to free with
+ * g_free()
  */
-char *table_to_toml(const GPtrArray *entries, enum table_which which, uint64_t base);
+char *table_to_toml(const GPtrArray *entries, enum table_id which, uint64_t base);
 
-/** Make an entry from its text. @return NULL with @a error when the text is wrong. */
+/**
+ * Creates an entry from its JSON text. @param text NULL: the entry was removed
+ * @return NULL with @a error set if the id or the text is invalid
+ */
 struct conf_entry *table_entry_parse(const char *id, uint64_t version, const char *text,
 				     GError **error);
-/** Make the entry of a route, pool or team at @a body. */
+/** Creates the entry for the struct @a body, which is that of @a kind; not for keys. */
 struct conf_entry *table_entry_make(enum conf_kind kind, const void *body);
-/** Make a key's entry. */
+/** Creates the entry of an API key. */
 struct conf_entry *table_key_entry(const struct conf_key *key);
 
 #endif
--- a/src/toml-shim.cc
+++ b/src/toml-shim.cc
@@ -1,4 +1,4 @@
-/** @file toml-shim.cc TOML to JSON, by libtomlplusplus. */
+/** @file toml-shim.cc Conversion of TOML to JSON by libtomlplusplus. */
 #include "toml-shim.h"
 
 #include <cstdio>
--- a/src/toml-shim.h
+++ b/src/toml-shim.h
@@ -1,4 +1,4 @@
-/** @file toml-shim.h The only door to libtomlplusplus, which is C++. */
+/** @file toml-shim.h C interface to libtomlplusplus, a C++ library. */
 #ifndef TOML_SHIM_H
 #define TOML_SHIM_H
 
@@ -7,9 +7,9 @@
 #endif
 
 /**
- * Turn TOML into JSON.
- * @param problem on failure, what is wrong and in which line, in @a size bytes
- * @return JSON text to free(), or NULL
+ * Converts TOML to JSON.
+ * @param problem receives the error and its line on failure, in @a size bytes
+ * @return JSON text to be freed with free(), or NULL on failure
  */
 char *toml_shim_to_json(const char *text, char *problem, unsigned long size);
 
--- a/src/trace.c
+++ b/src/trace.c
@@ -1,4 +1,4 @@
-/** @file trace.c Recording of the failover decisions' inputs. */
+/** @file trace.c Recording of the inputs and results of the failover decisions. */
 #include "trace.h"
 
 #include "home.h"
@@ -17,7 +17,8 @@
 	return trace_file != NULL;
 }
 
-/** Start a line: what it is, whose watch, and the group's size. */
+/** Begins a line: kind of event, "pool/member", size of the group. @return false if not recording
+ */
 static bool trace_line(const struct home_member *m, const char *what)
 {
 	if (trace_file == NULL)
--- a/src/trace.h
+++ b/src/trace.h
@@ -1,7 +1,10 @@
 /**
  * @file trace.h
- * Records what the failover decisions were given and what they decided, so that tests/test-replay.c
- * can run them again. One line an input, one for its outcome; the format is in docs/OPERATIONS.md.
+ * Records the inputs and the results of the failover decisions in a file, so that
+ * tests/test-replay.c can replay them. Each input is one line, followed by a line for its result if
+ * there is one; the format is in docs/OPERATIONS.md. The home is the daemon that holds the
+ * connections and the queue of a member; @a m is the member whose home decides, and @a i is the
+ * index of a member of the group.
  */
 #ifndef TRACE_H
 #define TRACE_H
@@ -11,15 +14,21 @@
 
 struct home_member;
 
-/** Record to @a path; nothing when it is empty. @return false when it cannot be opened. */
+/** Starts recording to the file @a path, unless it is empty. @return false on failure */
 bool trace_open(const char *path);
+/** Records a member's report, requested at @a asked_us. */
 void trace_report(const struct home_member *m, int i, const struct member_report *r,
 		  int64_t asked_us);
+/** Records that a member did not answer. */
 void trace_unreachable(const struct home_member *m, int i, enum member_state state, int64_t now);
+/** Records a periodic check, with this VM's rank and a random number. */
 void trace_tick(const struct home_member *m, unsigned rank, uint64_t random, int64_t now);
+/** Records a member's answer to the order to accept @a term. */
 void trace_fenced(const struct home_member *m, int i, uint64_t term, bool ok, struct pos received,
 		  int64_t now);
+/** Records the answer to the order to promote a member in @a term. */
 void trace_promoted(const struct home_member *m, uint64_t term, bool ok, int64_t now);
+/** Records the decision that followed an input, unless there is nothing to do. */
 void trace_outcome(const struct home_member *m, const struct failover_order *o);
 
 #endif
--- a/tests/harness-owner.c
+++ b/tests/harness-owner.c
@@ -236,7 +236,7 @@
 	g_strlcpy(w->settings.name, "vm-1", sizeof(w->settings.name));
 	g_strlcpy(w->settings.advertise, SELF, sizeof(w->settings.advertise));
 	w->settings.silent_ms = 600;
-	w->settings.leave_ms = 7000;
+	w->settings.member_leave_ms = 7000;
 	w->settings.evacuate_ms = 5000;
 	w->settings.platform_kind = PLATFORM_PREPARED;
 	w->k = kernel_create(&w->settings);
--- a/tests/test-change.c
+++ b/tests/test-change.c
@@ -175,7 +175,7 @@
 		rpc_reply(rq, &res);
 		return;
 	}
-	res.heard_age_us = (u_quad_t)(model.now - model.last_contact_us);
+	res.last_contact_age_us = (u_quad_t)(model.now - model.last_contact_us);
 	res.stopped = !succession_may_continue(&s, model.now);
 	model.stopped = model.stopped || res.stopped;
 	rpc_reply(rq, &res);
--- a/tests/test-conf.c
+++ b/tests/test-conf.c
@@ -232,7 +232,7 @@
 static void test_wrong_tables(void)
 {
 	static const struct {
-		enum table_which which;
+		enum table_id which;
 		const char *text, *says;
 	} wrong[] = {
 		{TABLE_ROUTES, "[[route]]\nname = \"a\"", "f: route 1: pool: found nothing"},
@@ -312,7 +312,7 @@
 	table_parse("r", "[[route]]\nname = \"a\"\npool = \"missing\"", TABLE_ROUTES, &routes,
 		    NULL);
 	table_parse("p", "", TABLE_POOLS, &pools, NULL);
-	CU_ASSERT_FALSE(table_check_joined("r", routes.entries, pools.entries, &error));
+	CU_ASSERT_FALSE(table_check_pool_references("r", routes.entries, pools.entries, &error));
 	CU_ASSERT_PTR_NOT_NULL(strstr(error->message, "pool: found \"missing\""));
 	g_error_free(error);
 	table_clear(&routes);
@@ -403,8 +403,8 @@
 
 		CHECK(table_load(routes_path, TABLE_ROUTES, &routes, &error) &&
 			      table_load(pools_path, TABLE_POOLS, &pools, &error) &&
-			      table_check_joined(routes_path, routes.entries, pools.entries,
-						 &error) &&
+			      table_check_pool_references(routes_path, routes.entries,
+							  pools.entries, &error) &&
 			      settings_load(vm_path, &vm, &error),
 		      "%s", error != NULL ? error->message : "");
 		g_clear_error(&error);
--- a/tests/test-log.c
+++ b/tests/test-log.c
@@ -1,4 +1,4 @@
-/** @file test-log.c Logs: whole lines, a budget, and a reader that does not read. */
+/** @file test-log.c Logging: quoting, rate limits, and a reader that does not keep up. */
 #include "harness.h"
 #include "log.h"
 
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/** Log to a pipe in place of standard output, and tell its reading end. */
+/** Replaces standard output by a pipe and logs to it. @return the read end of the pipe */
 static int log_to_pipe(int *stdout_was)
 {
 	static bool opened;
@@ -52,9 +52,9 @@
 }
 
 /*
- * Whoever reads a daemon's output stops reading. The pipe fills, and a daemon that blocks on it
- * would stop to serve all its callers. Writing goes on, lines are left out, and that is told
- * afterwards.
+ * Guards against a daemon that blocks on its log and stops serving all callers. It comes about when
+ * the reader of the daemon's output stops reading and the pipe fills up. Logging must drop lines
+ * instead, and report the number of dropped lines afterwards.
  */
 static void test_a_full_pipe_blocks_nothing(void)
 {
@@ -73,12 +73,15 @@
 	text = drain(in);
 	log_restore(was, in);
 	CHECK(took < 10000, "80,000 lines took %ld ms", (long)took);
-	CHECK(strstr(text, "event=log-left-out") != NULL, "what was left out is told");
+	CHECK(strstr(text, "event=log-left-out") != NULL, "the dropped lines are reported");
 	CHECK(g_str_has_suffix(text, "\n"), "lines are whole");
 	g_free(text);
 }
 
-/* Successes have a budget of their own, so that a flood of them leaves room for what went wrong. */
+/*
+ * Guards against errors missing from the log while many statements succeed. Routine events have a
+ * rate limit of their own, so a flood of them must not use up the limit of other events.
+ */
 static void test_successes_do_not_crowd_out_the_rest(void)
 {
 	int was, in = log_to_pipe(&was);
@@ -95,6 +98,7 @@
 	g_free(text);
 }
 
+/* Guards against log lines that cannot be parsed because a value has a space, quote or newline. */
 static void test_values_are_quoted(void)
 {
 	int was, in = log_to_pipe(&was);
@@ -112,7 +116,7 @@
 static const struct test_case cases[] = {
 	{"values_are_quoted", test_values_are_quoted},
 	{"successes_do_not_crowd_out_the_rest", test_successes_do_not_crowd_out_the_rest},
-	/* The last: it uses up the second's budget. */
+	/* Has to be the last case: it uses up the rate limit of the current second. */
 	{"a_full_pipe_blocks_nothing", test_a_full_pipe_blocks_nothing},
 };
 HARNESS_MAIN("log", cases)
--- a/tests/test-rpc.c
+++ b/tests/test-rpc.c
@@ -1,4 +1,4 @@
-/** @file test-rpc.c How a call between daemons ends, on real sockets in one process. */
+/** @file test-rpc.c The status with which RPC calls end, on real sockets in one process. */
 #include "harness.h"
 #include "net.h"
 #include "rpc.h"
@@ -7,12 +7,12 @@
 #include <string.h>
 #include <unistd.h>
 
-/** Time in which a connection over loopback is surely made. */
+/** Upper bound of the time in which a loopback connection is established. */
 #define CONNECTED_US (50 * USEC_PER_MSEC)
-/** A loop that has nothing left to do for so long is done. */
+/** Time for which the event loop runs, so that all pending events are handled. */
 #define SETTLE_US (100 * USEC_PER_MSEC)
 
-/** A daemon that calls, and a peer whose socket the test reads by hand. */
+/** A calling daemon, and a peer that is only a listening socket, which the test reads itself. */
 struct pair {
 	struct settings settings;
 	struct kernel *kernel;
@@ -67,7 +67,7 @@
 	event_base_dispatch(p->kernel->base);
 }
 
-/** Bytes that reached the peer on the connection that waits at its listener. */
+/** Accepts the connection at the peer's listener. @return the number of bytes received on it */
 static ssize_t peer_read(struct pair *p)
 {
 	char bytes[512];
@@ -80,19 +80,19 @@
 
 static void call(struct pair *p, int64_t timeout_us, struct ended *e)
 {
-	ml_poke poke = {0};
+	ml_report_request request = {0};
 
-	poke.team = "clerks";
-	rpc_start(p->rpc, p->address, ML_POKE, &poke, timeout_us, on_done, e);
+	request.team = "clerks";
+	rpc_start(p->rpc, p->address, ML_REPORT_REQUEST, &request, timeout_us, on_done, e);
 }
 
 /*
- * The caller is told that its write has not run, and the write is committed.
- * On a slow VM the connection comes up and the call's time ends in the same turn of the loop: the
- * bytes leave as soon as the socket is up, but the note that it is up comes at the turn's end,
- * after the call was ended as one that never left.
+ * Guards against a write that is reported as not sent but is committed. It comes about on a slow VM
+ * when the connection is established and the call times out in the same iteration of the event
+ * loop: the record is sent as soon as the socket is connected, but the event for it is handled
+ * after the call has ended with RPC_NOT_SENT.
  */
-static void test_not_sent_is_true(void)
+static void test_not_sent_call_never_reaches_peer(void)
 {
 	struct ended e = {0};
 	struct pair p;
@@ -103,11 +103,11 @@
 	settle(&p);
 	CU_ASSERT_TRUE_FATAL(e.called);
 	if (e.status == RPC_NOT_SENT)
-		CHECK(peer_read(&p) <= 0, "the call left all the same");
+		CHECK(peer_read(&p) <= 0, "the call was sent although it ended with RPC_NOT_SENT");
 	pair_close(&p);
 }
 
-/** A call that left and is not answered may have been carried out. */
+/** Guards against a call reported as not sent although the peer, which never replies, got it. */
 static void test_unanswered_is_lost(void)
 {
 	struct ended e = {0};
@@ -122,7 +122,7 @@
 	pair_close(&p);
 }
 
-/** Nobody listens: nothing left. */
+/** Guards against a refused connection reported as a call that may have been executed. */
 static void test_refused_is_not_sent(void)
 {
 	struct ended e = {0};
@@ -138,7 +138,7 @@
 }
 
 static const struct test_case cases[] = {
-	{"not_sent_is_true", test_not_sent_is_true},
+	{"not_sent_call_never_reaches_peer", test_not_sent_call_never_reaches_peer},
 	{"unanswered_is_lost", test_unanswered_is_lost},
 	{"refused_is_not_sent", test_refused_is_not_sent},
 };
