--- a/tests/test-it-caller.c
+++ b/tests/test-it-caller.c
@@ -68,7 +68,7 @@
 	PQfinish(c);
 }
 
-static void test_refusals_before_anything_runs(void)
+static void test_unsupported_statements_and_settings_are_refused(void)
 {
 	static const struct {
 		const char *text, *state;
@@ -324,7 +324,7 @@
 	g_free(dir);
 }
 
-static void test_end(void)
+static void test_shared_fleet_shutdown(void)
 {
 	fleet_tear_down(get_shared_fleet());
 	fleet = NULL;
@@ -332,7 +332,8 @@
 
 static const struct test_case cases[] = {
 	{"extended_protocol", test_extended_protocol},
-	{"refusals_before_anything_runs", test_refusals_before_anything_runs},
+	{"unsupported_statements_and_settings_are_refused",
+	 test_unsupported_statements_and_settings_are_refused},
 	{"wrong_keys", test_wrong_keys},
 	{"slow_and_broken_callers", test_slow_and_broken_callers},
 	{"idle_and_too_many_callers", test_idle_and_too_many_callers},
@@ -340,6 +341,6 @@
 	{"psql", test_psql},
 	{"log_has_no_secrets", test_log_has_no_secrets},
 	{"tls", test_tls},
-	{"end", test_end},
+	{"shared_fleet_shutdown", test_shared_fleet_shutdown},
 };
 HARNESS_MAIN("caller", cases)
--- a/tests/test-it-explain.c
+++ b/tests/test-it-explain.c
@@ -89,7 +89,7 @@
  * The primary stops answering while a write is under way. The caller gets INDOUBT, and the log has
  * to show the lost statement and the change of primary with its reason.
  */
-static void test_unknown_in_a_change_of_primary(void)
+static void test_unknown_outcome_in_a_change_of_primary(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
 	struct line_client c;
@@ -157,7 +157,7 @@
 
 static const struct test_case cases[] = {
 	{"refused_for_its_rate", test_refused_for_its_rate},
-	{"unknown_in_a_change_of_primary", test_unknown_in_a_change_of_primary},
+	{"unknown_outcome_in_a_change_of_primary", test_unknown_outcome_in_a_change_of_primary},
 	{"no_replica_is_fresh_enough", test_no_replica_is_fresh_enough},
 };
 HARNESS_MAIN("explain", cases)
--- a/tests/test-it-fleet.c
+++ b/tests/test-it-fleet.c
@@ -94,7 +94,7 @@
  * data centres stops accepting keys, because a withdrawal could not reach it. It accepts keys again
  * after the partition.
  */
-static void test_cut_off_keys_are_not_trusted_for_ever(void)
+static void test_isolated_data_center_stops_accepting_keys(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){
 		.vms = 6, .settings = "[keys]\ntrust_without_news_ms = 5000\n"});
@@ -172,7 +172,7 @@
 		"[[team]]\nname = \"clerks\"\nrate = %d\nburst = 100000\n" HARNESS_ROUTES, rate);
 }
 
-/** One operator in test_operators_race(). */
+/** One operator in test_concurrent_applies_conflict(). */
 struct apply_thread {
 	struct test_fleet *f;
 	int rate, code;
@@ -212,7 +212,7 @@
  * platform's answer to an apply is lost after the change was stored; the command has to find its
  * own change and succeed.
  */
-static void test_operators_race(void)
+static void test_concurrent_applies_conflict(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
 	struct apply_thread r[4];
@@ -252,7 +252,7 @@
  * against its old version replacing the new one at its peers, and against a daemon that does not
  * get the change from its peers. A VM that starts during the outage has to serve as well.
  */
-static void test_changes_never_revert(void)
+static void test_configuration_changes_never_revert(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
 	char *text = routes_with_rate(4321), *path = fleet_file(f, "next.toml", text);
@@ -445,7 +445,7 @@
  * have to continue. After the partition, writes through the isolated VM have to work again without
  * intervention.
  */
-static void test_cut_data_center_serves_what_it_can(void)
+static void test_isolated_data_center_serves_reads(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
 	PGconn *page, *order;
@@ -527,15 +527,16 @@
 
 static const struct test_case cases[] = {
 	{"withdrawn_key", test_withdrawn_key},
-	{"cut_off_keys_are_not_trusted_for_ever", test_cut_off_keys_are_not_trusted_for_ever},
+	{"isolated_data_center_stops_accepting_keys",
+	 test_isolated_data_center_stops_accepting_keys},
 	{"command_line", test_command_line},
-	{"operators_race", test_operators_race},
-	{"changes_never_revert", test_changes_never_revert},
+	{"concurrent_applies_conflict", test_concurrent_applies_conflict},
+	{"configuration_changes_never_revert", test_configuration_changes_never_revert},
 	{"silent_watches_are_noticed", test_silent_watches_are_noticed},
 	{"leaving_database", test_leaving_database},
 	{"evacuated_data_center", test_evacuated_data_center},
 	{"planned_stop_cuts_nothing", test_planned_stop_cuts_nothing},
-	{"cut_data_center_serves_what_it_can", test_cut_data_center_serves_what_it_can},
+	{"isolated_data_center_serves_reads", test_isolated_data_center_serves_reads},
 	{"connections_stay_within_the_limit", test_connections_stay_within_the_limit},
 };
 HARNESS_MAIN("fleet", cases)
--- a/tests/test-it-line.c
+++ b/tests/test-it-line.c
@@ -100,7 +100,7 @@
 	line_close(&d);
 }
 
-static void test_who_may_not(void)
+static void test_wrong_key_and_unknown_database_are_refused(void)
 {
 	struct line_fleet *f = get_shared_fleet();
 	struct line_client c;
@@ -118,7 +118,7 @@
  * request id "-" that the proxy uses for its own commands, commands that callers may not send, and
  * a line over the size limit.
  */
-static void test_what_is_no_statement(void)
+static void test_malformed_statements_are_refused(void)
 {
 	struct line_fleet *f = get_shared_fleet();
 	struct line_client c;
@@ -279,7 +279,7 @@
 
 /* Checks the stand-in's counters and stops the shared fleet, so it comes after all cases that use
  * it. */
-static void test_shared_ends(void)
+static void test_shared_fleet_counters_and_shutdown(void)
 {
 	CU_ASSERT_EQUAL(line_report(get_shared_fleet(), "token_regressed"), 0);
 	CU_ASSERT_EQUAL(line_report(get_shared_fleet(), "replaced_commits"), 0);
@@ -291,7 +291,7 @@
  * Guards against NODATABASE from a VM that has just started and has no configuration yet: callers
  * take it for permanent. The VM has to answer BUSY.
  */
-static void test_a_vm_without_configuration_denies_no_database(void)
+static void test_a_vm_without_configuration_answers_busy(void)
 {
 	struct line_fleet *f = line_fleet_start(1);
 	int64_t until = test_now_ms() + 5000;
@@ -312,19 +312,19 @@
 }
 
 static const struct test_case cases[] = {
-	{"a_vm_without_configuration_denies_no_database",
-	 test_a_vm_without_configuration_denies_no_database},
+	{"a_vm_without_configuration_answers_busy", test_a_vm_without_configuration_answers_busy},
 	{"reads_and_writes", test_reads_and_writes},
 	{"transactions", test_transactions},
 	{"prepared_statements_and_values", test_prepared_statements_and_values},
-	{"who_may_not", test_who_may_not},
-	{"what_is_no_statement", test_what_is_no_statement},
+	{"wrong_key_and_unknown_database_are_refused",
+	 test_wrong_key_and_unknown_database_are_refused},
+	{"malformed_statements_are_refused", test_malformed_statements_are_refused},
 	{"lost_answers", test_lost_answers},
 	{"a_withdrawn_key_stops_working", test_a_withdrawn_key_stops_working},
 	{"malformed_records", test_malformed_records},
 	{"without_the_store", test_without_the_store},
 	{"reload", test_reload},
 	{"endpoints", test_endpoints},
-	{"shared_ends", test_shared_ends},
+	{"shared_fleet_counters_and_shutdown", test_shared_fleet_counters_and_shutdown},
 };
 HARNESS_MAIN("line fleet", cases)
--- a/tests/test-it-once.c
+++ b/tests/test-it-once.c
@@ -28,7 +28,7 @@
  * differs from the database's log: an acknowledged order is there exactly once, one reported as not
  * run is not there, and none is there twice.
  */
-static void test_a_thousand_faulted_requests(void)
+static void test_outcomes_match_the_log_under_random_faults(void)
 {
 	static const char *const faults[] = {"reset", "reset", "reset", "freeze",
 					     "mute",  "deaf",  "hold"};
@@ -195,7 +195,7 @@
  * Connections are delayed and reset while a large result is on its way from the database. Guards
  * against truncated results: the caller gets all of it or an error.
  */
-static void test_whole_answers_only(void)
+static void test_results_are_never_truncated(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){0});
 	PGconn *c = fleet_connect(f, 1, "clerks", f->key, "-c mangoloom.kind=own");
@@ -291,12 +291,13 @@
 }
 
 static const struct test_case cases[] = {
-	{"a_thousand_faulted_requests", test_a_thousand_faulted_requests},
+	{"outcomes_match_the_log_under_random_faults",
+	 test_outcomes_match_the_log_under_random_faults},
 	{"home_dies_under_load", test_home_dies_under_load},
 	{"silent_connections_are_replaced", test_silent_connections_are_replaced},
 	{"silent_rpc_is_replaced", test_silent_rpc_is_replaced},
 	{"once_id_stops_a_repetition", test_once_id_stops_a_repetition},
-	{"whole_answers_only", test_whole_answers_only},
+	{"results_are_never_truncated", test_results_are_never_truncated},
 	{"no_crossed_answers", test_no_crossed_answers},
 };
 HARNESS_MAIN("once", cases)
--- a/tests/test-it-owner.c
+++ b/tests/test-it-owner.c
@@ -154,7 +154,7 @@
  * The primary is marked as draining. Guards against a handover to a member that lacks some of its
  * log, and against writes that are lost or get an unknown outcome.
  */
-static void test_a_primary_leaves(void)
+static void test_a_draining_primary_hands_over(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
 	char before[32], after[32];
@@ -265,7 +265,7 @@
  * against freeing their sessions twice, which made the entry VM crash. Reads that accept old data
  * have to continue at replicas.
  */
-static void test_an_owner_stands_still(void)
+static void test_callers_disconnect_while_an_owner_is_paused(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
 	int owner = wait_for_owner(f), entry, i;
@@ -297,7 +297,7 @@
  * An owner is paused for longer than its lease and continues. Meanwhile another VM owns the group
  * and has changed the primary. Guards against using the old owner's statements and state.
  */
-static void test_an_owner_wakes_after_its_lease(void)
+static void test_an_owner_resumes_after_its_lease(void)
 {
 	struct line_fleet *f = line_fleet_start(3);
 	int owner = wait_for_owner(f), entry;
@@ -426,11 +426,12 @@
 static const struct test_case cases[] = {
 	{"a_primary_ends", test_a_primary_ends},
 	{"a_primary_falls_silent_and_wakes", test_a_primary_falls_silent_and_wakes},
-	{"a_primary_leaves", test_a_primary_leaves},
+	{"a_draining_primary_hands_over", test_a_draining_primary_hands_over},
 	{"a_data_center_is_evacuated", test_a_data_center_is_evacuated},
 	{"an_owner_is_killed", test_an_owner_is_killed},
-	{"an_owner_stands_still", test_an_owner_stands_still},
-	{"an_owner_wakes_after_its_lease", test_an_owner_wakes_after_its_lease},
+	{"callers_disconnect_while_an_owner_is_paused",
+	 test_callers_disconnect_while_an_owner_is_paused},
+	{"an_owner_resumes_after_its_lease", test_an_owner_resumes_after_its_lease},
 	{"a_planned_stop_cuts_nothing", test_a_planned_stop_cuts_nothing},
 	{"no_wait_for_a_token_without_an_owner", test_no_wait_for_a_token_without_an_owner},
 	{"all_vms_start_again", test_all_vms_start_again},
--- a/tests/test-it-session.c
+++ b/tests/test-it-session.c
@@ -87,7 +87,7 @@
  * Replicas lag by 10 ms only. Guards against reads that go to the primary although a replica may
  * serve them, and still against stale reads.
  */
-static void test_replicas_serve_what_they_may(void)
+static void test_replicas_with_little_lag_serve_reads(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 10});
 	char value[64];
@@ -110,7 +110,7 @@
  * Reads accept data up to 500 ms old, and replicas lag by three seconds. Guards against a replica
  * that serves such a read because its staleness is assumed instead of measured.
  */
-static void test_age_is_measured(void)
+static void test_staleness_is_measured(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 3000});
 	PGconn *w = fleet_connect_orders(f, 0), *r;
@@ -135,7 +135,7 @@
  * Guards against a connection that does not read its own writes when the caller does not set a
  * session token, whatever the kind of the read.
  */
-static void test_own_connection_remembers(void)
+static void test_reads_own_writes_without_a_session_token(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.lag_ms = 2000});
 	PGconn *c = fleet_connect_orders(f, 2);
@@ -180,7 +180,7 @@
  * hiding this from a session whose token names a discarded write: its next read has to fail with
  * 55000, once.
  */
-static void test_lost_write_is_told(void)
+static void test_lost_write_is_reported(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.confirm = "primary"});
 	PGconn *w = fleet_connect_orders(f, 0), *r;
@@ -300,7 +300,7 @@
  * cannot run, since the last connection is reserved for them, and against a further BEGIN that does
  * not wait until a transaction ends.
  */
-static void test_last_connection(void)
+static void test_last_connection_is_kept_for_single_statements(void)
 {
 	struct test_fleet *f = fleet_start_up(&(struct fleet_plan){.connections = 6});
 	PGconn *tx[2], *c = fleet_connect_orders(f, 0), *late;
@@ -333,13 +333,14 @@
 static const struct test_case cases[] = {
 	{"reads_own_writes_with_replicas_far_behind",
 	 test_reads_own_writes_with_replicas_far_behind},
-	{"replicas_serve_what_they_may", test_replicas_serve_what_they_may},
-	{"age_is_measured", test_age_is_measured},
-	{"own_connection_remembers", test_own_connection_remembers},
+	{"replicas_with_little_lag_serve_reads", test_replicas_with_little_lag_serve_reads},
+	{"staleness_is_measured", test_staleness_is_measured},
+	{"reads_own_writes_without_a_session_token", test_reads_own_writes_without_a_session_token},
 	{"reads_own_write_across_a_promotion", test_reads_own_write_across_a_promotion},
-	{"lost_write_is_told", test_lost_write_is_told},
+	{"lost_write_is_reported", test_lost_write_is_reported},
 	{"transactions", test_transactions},
 	{"transactions_end_with_their_caller_or_vm", test_transactions_end_with_their_caller_or_vm},
-	{"last_connection", test_last_connection},
+	{"last_connection_is_kept_for_single_statements",
+	 test_last_connection_is_kept_for_single_statements},
 };
 HARNESS_MAIN("session", cases)
