--- a/src/caller-extended.c
+++ b/src/caller-extended.c
@@ -308,6 +308,7 @@
 	caller_send(c, out);
 }
 
+/** Does nothing: responses are written without waiting for a Flush or Sync message. */
 static void handle_flush(struct caller *c, struct pg_reader *r)
 {
 }
--- a/src/caller-query.c
+++ b/src/caller-query.c
@@ -40,7 +40,10 @@
 	finish_error(c);
 }
 
-/** Adds NoData if a Describe of the running portal, which returns no rows, is unanswered. */
+/**
+ * Adds NoData if the caller sent a Describe for the running portal that was not answered yet. To be
+ * called for statements that return no rows.
+ */
 static void put_no_data(const struct caller *c, GByteArray *out)
 {
 	if (c->running_portal != NULL && c->running_portal->describe)
--- a/src/caller.c
+++ b/src/caller.c
@@ -95,7 +95,7 @@
 {
 	struct fleet *f = fleet_of(c->callers->service.kernel);
 	const struct conf_key *key = conf_key(f->conf, c->key_id);
-	int64_t trust = (int64_t)caller_settings(c)->stale_keys_ms * USEC_PER_MSEC;
+	int64_t max_age_us = (int64_t)caller_settings(c)->stale_keys_ms * USEC_PER_MSEC;
 
 	if (key == NULL || key->withdrawn || strcmp(key->team, c->team) != 0)
 		return false;
@@ -103,7 +103,7 @@
 	 * An isolated VM receives no configuration, so it can't know that a key was withdrawn.
 	 * stale_keys_ms limits for how long it goes on accepting keys; 0 is no limit.
 	 */
-	return trust == 0 || fleet_conf_age_us(f) <= trust;
+	return max_age_us == 0 || fleet_conf_age_us(f) <= max_age_us;
 }
 
 static void caller_arm(struct caller *c)
--- a/src/caller.h
+++ b/src/caller.h
@@ -54,6 +54,7 @@
 	bool describe;	    /**< RowDescription is to be sent before the rows */
 };
 
+/** One client connection and the state of its session. */
 struct caller {
 	TAILQ_ENTRY(caller) link;
 	struct callers *callers;
@@ -92,7 +93,7 @@
 	struct service service;
 	struct evconnlistener *listener;
 	struct caller_list list;
-	unsigned n;
+	unsigned n;	    /**< open connections */
 	unsigned n_closing; /**< number of @a n that are closing */
 	uint32_t next_pid;
 	SSL_CTX *tls;
--- a/src/entry.c
+++ b/src/entry.c
@@ -26,7 +26,7 @@
 	struct service service;
 	GHashTable *pools;
 	uint64_t next_request;
-	unsigned open;
+	unsigned open; /**< requests that have not ended */
 };
 
 struct entry_request {
--- a/src/home-ask.c
+++ b/src/home-ask.c
@@ -18,11 +18,12 @@
 #define ASK_OTHER_US (1000 * USEC_PER_MSEC)
 /** RPC timeout, in addition to the requested wait. */
 #define ASK_TIMEOUT_US (400 * USEC_PER_MSEC)
-/** A member whose homes have not answered for this long counts as cut off. */
-#define CUT_AFTER_US (500 * USEC_PER_MSEC)
+/** A member whose homes have not answered for this long gets the state MEMBER_HOME_UNREACHABLE. */
+#define UNREACHABLE_AFTER_US (500 * USEC_PER_MSEC)
 /** Pause before a member that lacked a commit is asked again for it. */
 #define BEHIND_PAUSE_US (50 * USEC_PER_MSEC)
 
+/** A request in flight for a member's report, which waits until the member has @a wait_for. */
 struct ask {
 	struct home_watch *w;
 	struct pos wait_for;
@@ -38,11 +39,11 @@
 	if (w->ask[i].failing_since_us == 0)
 		w->ask[i].failing_since_us = now;
 	/*
-	 * Ask the member's next home at once. The member counts as cut off only after no home has
-	 * answered for CUT_AFTER_US.
+	 * Ask the member's next home at once. The member counts as unreachable only after no home
+	 * has answered for UNREACHABLE_AFTER_US.
 	 */
 	w->ask[i].asked_us = 0;
-	if (now - w->ask[i].failing_since_us < CUT_AFTER_US ||
+	if (now - w->ask[i].failing_since_us < UNREACHABLE_AFTER_US ||
 	    m->view.member[i].state == MEMBER_HOME_UNREACHABLE)
 		return;
 	log_warn("member-cut", LOG_STR("pool", m->pool), LOG_STR("member", m->view.member[i].name));
@@ -69,7 +70,7 @@
 		return;
 	w->ask[i].failing_since_us = 0;
 	home_report_from_res(res, &r);
-	/* The report dates from that home's last probe of the member, not from this request. */
+	/* The report is as old as the home's last probe of the member, not as this request. */
 	watch_report(w, i, &r, a->sent_us - (int64_t)res->age_us);
 	home_confirm_check(w->m);
 }
--- a/src/home-failover.c
+++ b/src/home-failover.c
@@ -14,7 +14,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/** Least time between two orders to a member of this home to follow the primary. */
+/** Minimum time between two orders to a member of this home to follow the primary. */
 #define FOLLOW_PAUSE_US (200 * USEC_PER_MSEC)
 
 static void failover_act(struct home_watch *w, struct failover_order o);
@@ -25,7 +25,7 @@
 	char member[NAME_SIZE];
 	uint64_t term;
 	bool promote;
-	bool attach;
+	bool attach; /**< to follow the promoted member; the answer is not evaluated */
 };
 
 static void order_done(enum rpc_status status, const void *arg_res, void *arg)
@@ -112,7 +112,7 @@
 	}
 }
 
-/** Orders this home's member to follow the primary if it follows no member or another one. */
+/** Orders this home's member to follow the primary unless it replicates from it already. */
 static void follow_check(struct home_watch *w)
 {
 	struct home_member *m = w->m;
--- a/src/home-job.c
+++ b/src/home-job.c
@@ -12,6 +12,8 @@
 /** SQLSTATEs by which a member shows that it accepts no writes or shuts down. */
 #define READ_ONLY_STATE "25006"
 static const char *const not_primary_states[] = {READ_ONLY_STATE, "57P01", "57P02", "57P03"};
+/** SQLSTATE of a unique violation; a once-id that is recorded already causes it. */
+#define UNIQUE_VIOLATION_STATE "23505"
 
 static void job_step(struct home_job *job, enum job_step step);
 
@@ -172,8 +174,9 @@
 static void after_prologue(struct home_job *job, const struct db_result *res)
 {
 	if (res->status == DB_SQL_ERROR) {
-		job->outcome = strcmp(res->sqlstate, "23505") == 0 ? OUTCOME_ALREADY_RUN
-								   : error_outcome(job, res);
+		job->outcome = strcmp(res->sqlstate, UNIQUE_VIOLATION_STATE) == 0
+				       ? OUTCOME_ALREADY_RUN
+				       : error_outcome(job, res);
 		job_step(job, JOB_ROLLBACK);
 		return;
 	}
@@ -256,7 +259,7 @@
 	job_save_result(job, res);
 	if (res->status == DB_SQL_ERROR) {
 		bool once_used = job->args->once[0] != '\0' &&
-				 strcmp(res->sqlstate, "23505") == 0 &&
+				 strcmp(res->sqlstate, UNIQUE_VIOLATION_STATE) == 0 &&
 				 strstr(res->message, "mangoloom_once") != NULL;
 
 		job->outcome = once_used ? OUTCOME_ALREADY_RUN : error_outcome(job, res);
--- a/src/home-watch.c
+++ b/src/home-watch.c
@@ -372,7 +372,7 @@
 	wait_start(m->watch);
 }
 
-/* The watch */
+/* Tick, start and stop */
 
 void home_watch_probe_soon(struct home_member *m)
 {
--- a/src/home-watch.h
+++ b/src/home-watch.h
@@ -47,7 +47,7 @@
 		int64_t failing_since_us; /**< since when its homes do not answer; 0 if they do */
 		bool recheck;		  /**< a commit waits for this member's next answer */
 		int64_t behind_us;	  /**< when its last answer lacked the commit waited for */
-	} ask[GROUP_MEMBERS_MAX];
+	} ask[GROUP_MEMBERS_MAX];	  /**< requests for reports, by member */
 };
 
 /** Returns the RPC address of the home of member @a i; NULL if none is known. */
--- a/src/home.c
+++ b/src/home.c
@@ -129,27 +129,28 @@
 }
 
 /**
- * Returns whether a member in @a data_center may have its home here. A member of another data
- * centre that has VMs never has, and is not ranked: with thousands of databases, ranking all of
- * them would block the event loop for 250 ms at each change.
+ * Returns whether a member in @a data_center may have its home here. It may not if the data centre
+ * is another one that has usable VMs. Such members are not ranked: with thousands of databases,
+ * ranking all of them would block the event loop for 250 ms at each change.
+ * @param has_vm caches whether a data centre has usable VMs, by its name
  */
-static bool may_be_home(struct home *h, GHashTable *served, const char *data_center)
+static bool may_be_home(struct home *h, GHashTable *has_vm, const char *data_center)
 {
 	struct fleet *f = fleet_of(h->service.kernel);
 	gpointer known;
 
 	if (strcmp(data_center, h->service.kernel->settings->data_center) == 0)
 		return true;
-	if (!g_hash_table_lookup_extended(served, data_center, NULL, &known)) {
+	if (!g_hash_table_lookup_extended(has_vm, data_center, NULL, &known)) {
 		known = GINT_TO_POINTER(fleet_has_usable_vm(f, data_center));
-		g_hash_table_insert(served, (gpointer)data_center, known);
+		g_hash_table_insert(has_vm, (gpointer)data_center, known);
 	}
 	return !GPOINTER_TO_INT(known);
 }
 
 void home_update_placement(struct home *h)
 {
-	GHashTable *served = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *has_vm = g_hash_table_new(g_str_hash, g_str_equal);
 	struct fleet *f = fleet_of(h->service.kernel);
 	struct home_member *m;
 	GHashTableIter iter;
@@ -171,14 +172,14 @@
 		unsigned i;
 
 		for (i = 0; e->kind == CONF_POOL && i < e->pool.n; i++) {
-			if (!may_be_home(h, served, e->pool.member[i].data_center) ||
+			if (!may_be_home(h, has_vm, e->pool.member[i].data_center) ||
 			    !fleet_home_is_self(f, e->pool.name, &e->pool.member[i]))
 				continue;
 			m = home_member_get(h, e->pool.name, e->pool.member[i].name);
 			m->placed = true;
 		}
 	}
-	g_hash_table_destroy(served);
+	g_hash_table_destroy(has_vm);
 }
 
 static bool member_unused(const struct home_member *m, int64_t now)
@@ -190,7 +191,7 @@
 static void home_tick(evutil_socket_t fd, short what, void *arg)
 {
 	struct home *h = arg;
-	int64_t hold = (int64_t)h->service.kernel->settings->hold_connection_ms * USEC_PER_MSEC;
+	int64_t hold_us = (int64_t)h->service.kernel->settings->hold_connection_ms * USEC_PER_MSEC;
 	struct home_member *m, *next;
 	int64_t now = now_us();
 
@@ -200,7 +201,7 @@
 		home_tx_expire(m, now);
 		/* Close idle connections at once if the member has another home now. */
 		home_conn_trim(m, m->placed && m->configured && !conf_member_leaves(&m->conf)
-					  ? now - hold
+					  ? now - hold_us
 					  : now);
 		home_dispatch(m);
 		if (!m->placed && member_unused(m, now))
--- a/src/home.h
+++ b/src/home.h
@@ -33,7 +33,7 @@
  * opened to check the member when a kept one does not answer.
  */
 #define HOME_CONTROL_CONNECTIONS 3
-/** Most transactions that wait for a connection. */
+/** Maximum number of transactions that wait for a connection. */
 #define HOME_BEGIN_WAIT_MAX 256
 
 struct home;
@@ -97,8 +97,8 @@
 	GByteArray *frames; /**< the answer, kept until it may be returned */
 	char sqlstate[6];
 	char *message;
-	struct pos pos;
-	int64_t age_us;
+	struct pos pos; /**< log position of the commit, or of the data that was read */
+	int64_t age_us; /**< age of the data that a replica returned */
 	bool replicated[GROUP_MEMBERS_MAX]; /**< replicas that reported having the commit */
 };
 TAILQ_HEAD(home_jobs, home_job);
@@ -119,12 +119,12 @@
 	struct home_conns conns;
 	unsigned n_conns;
 	unsigned n_opening;
-	unsigned n_pinned;
+	unsigned n_pinned;     /**< connections reserved for open transactions */
 	int64_t open_after_us; /**< no connection is opened before this time: one was refused */
 	struct home_txs txs;
 	struct home_jobs waiting_begin;
 	struct home_jobs unconfirmed; /**< in the order of their commits */
-	struct event *dispatch;
+	struct event *dispatch;	      /**< runs home_dispatch() from the loop */
 
 	struct group_view view;
 	int self; /**< index of this member in the view */
@@ -137,7 +137,7 @@
 	struct home_members members;
 	GHashTable *by_name; /**< key: "pool member" */
 	uint64_t next_tx;
-	unsigned jobs;
+	unsigned jobs; /**< jobs of all members that are not answered yet */
 	struct event *tick;
 	int64_t last_exec_us; /**< when the last statement arrived */
 	bool draining;
@@ -151,9 +151,9 @@
 void home_update_placement(struct home *h);
 /** Returns the name of the primary known here, or "", and sets its term. */
 const char *home_primary(const struct home_member *m, uint64_t *term);
-/** Returns whether this member is up and, as known here, the primary: it accepts writes. */
+/** Returns whether the member accepts writes: it is up and, as far as known here, the primary. */
 bool home_accepts_writes(const struct home_member *m);
-/** Writes the members for `mangoloom status`. */
+/** Writes the state of the members for `mangoloom status`. */
 void home_json(struct home *h, JsonBuilder *b);
 
 /* home-conn.c */
@@ -163,7 +163,7 @@
 void home_conn_open(struct home_member *m);
 unsigned home_conn_limit(const struct home_member *m);
 void home_conn_close(struct home_conn *c);
-/** Returns a connection to the idle ones, or closes it if it is inside a transaction. */
+/** Makes a connection available for the next job, or closes it if it is inside a transaction. */
 void home_conn_release(struct home_conn *c);
 /** Closes connections that are idle since @a idle_before_us or longer. */
 void home_conn_trim(struct home_member *m, int64_t idle_before_us);
@@ -182,7 +182,10 @@
 void home_job_start(struct home_job *job, struct home_conn *c);
 /** Answers the job with @a o and frees it. */
 void home_job_end(struct home_job *job, enum outcome o, int64_t retry_after_us);
-/** Ends the job because the member does not work on its connection; the connection is closed. */
+/**
+ * Ends a job whose answer is not expected any more: the statement or the answer was lost, or the
+ * member is down. Closes the job's connection.
+ */
 void home_job_silent(struct home_job *job);
 /**
  * Ends all running statements and open transactions of a member that is down, and closes their
--- a/src/owner-change.c
+++ b/src/owner-change.c
@@ -164,7 +164,7 @@
 	return m->silent_since_us != 0 && now - m->silent_since_us > CHANGE_PROBE_FRESH_US;
 }
 
-void change_call_off(struct owner_group *g, const char *why)
+void change_cancel(struct owner_group *g, const char *why)
 {
 	log_info("change-called-off", LOG_STR("pool", g->pool), LOG_STR("why", why));
 	g->next_call_us = now_us() + PLANNED_PAUSE_US;
@@ -187,6 +187,7 @@
 	return true;
 }
 
+/** Waits until no transaction on the old primary is open, for at most SETTLE_TIMEOUT_US. */
 static void settle(struct owner_group *g, int64_t now)
 {
 	struct owner_member *m = owner_group_primary(g);
@@ -207,12 +208,12 @@
 
 /**
  * Cancels the change if the primary is back while other senders are being fenced, which may take as
- * long as a lease. No promotion was ordered yet, so the primary can continue. Without this, writes
- * were refused until the lease of a VM that had lost power expired.
+ * long as a lease. No promotion was ordered yet, so the primary can continue. Otherwise
+ * writes would be refused until the lease of a VM that has lost power expires.
  */
 static bool resume(struct owner_group *g, int64_t now)
 {
-	int returned = g->planned ? -1 : choose_leader(g, now);
+	int returned = g->planned ? -1 : choose_recorded_primary(g, now);
 
 	if (returned < 0 || g->member[returned].observed_us <= g->state_us ||
 	    conf_member_leaves(&g->member[returned].conf))
@@ -250,6 +251,7 @@
 	return true;
 }
 
+/** Waits until no other VM can send to the primary. */
 static void fence(struct owner_group *g, int64_t now)
 {
 	if (resume(g, now))
@@ -267,13 +269,14 @@
 
 /* States OWNER_ORDERING and OWNER_AWAITING */
 
+/** A promotion order in flight. */
 struct order {
 	struct owner *o;
 	char pool[NAME_SIZE];
 	uint64_t token;
 };
 
-static void ordered(enum promoter_result result, int code, void *arg)
+static void promotion_answered(enum promoter_result result, int code, void *arg)
 {
 	struct order *q = arg;
 	struct owner_group *g = owner_group_find(q->o, q->pool);
@@ -298,7 +301,8 @@
 	g_free(q);
 }
 
-static void order(struct owner_group *g, int64_t now)
+/** Orders the promotion of the chosen member. */
+static void order_promotion(struct owner_group *g, int64_t now)
 {
 	struct kernel *k = g->o->service.kernel;
 	struct order *q;
@@ -324,12 +328,13 @@
 		 LOG_REVISION("token", g->token));
 	k->adapter->promoter->promote(k, k->settings->promoter_address, g->pool,
 				      g->member[g->target].conf.name, k->settings->name, g->token,
-				      ORDER_TIMEOUT_US, ordered, q);
+				      ORDER_TIMEOUT_US, promotion_answered, q);
 }
 
-static void await(struct owner_group *g, int64_t now)
+/** Waits until the chosen member is the primary. */
+static void await_promotion(struct owner_group *g, int64_t now)
 {
-	int found = choose_leader(g, now);
+	int found = choose_recorded_primary(g, now);
 
 	if (found >= 0) {
 		stat_add(STAT_FAILOVERS_DONE, 1);
@@ -374,7 +379,8 @@
 	return g->unsettled;
 }
 
-static void find(struct owner_group *g, int64_t now)
+/** Looks for the current primary after a claim. */
+static void find_primary(struct owner_group *g, int64_t now)
 {
 	int found;
 
@@ -382,7 +388,7 @@
 		g->state_us = now;
 		return;
 	}
-	found = choose_leader(g, now);
+	found = choose_recorded_primary(g, now);
 
 	if (found >= 0) {
 		change_set_primary(g, found, "found");
@@ -430,8 +436,12 @@
 void change_tick(struct owner_group *g, int64_t now)
 {
 	static void (*const steps[OWNER_STATES])(struct owner_group *, int64_t) = {
-		[OWNER_FINDING] = find,		[OWNER_SETTLING] = settle, [OWNER_FENCING] = fence,
-		[OWNER_CHOOSING] = choose_step, [OWNER_ORDERING] = order,  [OWNER_AWAITING] = await,
+		[OWNER_FINDING] = find_primary,
+		[OWNER_SETTLING] = settle,
+		[OWNER_FENCING] = fence,
+		[OWNER_CHOOSING] = choose_step,
+		[OWNER_ORDERING] = order_promotion,
+		[OWNER_AWAITING] = await_promotion,
 	};
 	struct owner_member *m = owner_group_primary(g);
 
--- a/src/owner-choose.c
+++ b/src/owner-choose.c
@@ -40,7 +40,7 @@
 	}
 }
 
-int choose_leader(const struct owner_group *g, int64_t now)
+int choose_recorded_primary(const struct owner_group *g, int64_t now)
 {
 	struct lead_candidate c[GROUP_MEMBERS_MAX];
 	const char *names[GROUP_MEMBERS_MAX];
@@ -95,10 +95,6 @@
 		write_undo(g);
 }
 
-/**
- * The primary for which a successor was recorded is back before any order was sent. Promoting the
- * successor anyway would discard what the primary has acknowledged meanwhile.
- */
 bool choose_undo_if_returned(struct owner_group *g, int64_t now)
 {
 	struct lead_candidate c[GROUP_MEMBERS_MAX];
@@ -106,6 +102,7 @@
 	struct lead_record r = undo_record(g);
 	int returned;
 
+	/* Promoting the successor would discard what the primary has acknowledged meanwhile. */
 	if (!g->undo.possible || g->planned || g->record_busy)
 		return false;
 	choose_candidates(g, c, names, now, CHANGE_PROBE_FRESH_US);
@@ -203,7 +200,7 @@
 	if (g->record_busy)
 		return;
 	if (old->listed && !conf_member_leaves(&old->conf)) {
-		change_call_off(g, "stays");
+		change_cancel(g, "stays");
 		return;
 	}
 	if (g->target < 0) {
@@ -220,7 +217,7 @@
 	 * it is needed for the log that others lack.
 	 */
 	if (now - g->state_us > CATCH_UP_TIMEOUT_US && !change_exceeds_leave_time(old, now))
-		change_call_off(g, "replica-behind");
+		change_cancel(g, "replica-behind");
 }
 
 static void choice_recorded(struct owner_group *g, bool ok)
@@ -253,7 +250,7 @@
 
 /**
  * Excludes a primary that is back after a successor was recorded. Ordering its own promotion would
- * change nothing, and its term would not be accepted: the group stayed without writes for
+ * change nothing, and its term would not be accepted: the group would stay without writes for
  * AWAIT_TIMEOUT_US (2.5 s). It cannot simply continue either, since an earlier order may still take
  * effect. Nobody sends to it any more, so a replica that holds its whole log can take over.
  * @return whether the choice has to wait for such a replica
--- a/src/owner-claim.c
+++ b/src/owner-claim.c
@@ -221,7 +221,7 @@
 }
 
 /** Whether the record names an earlier process of this VM, which has certainly ended. */
-static bool was_own(const struct owner_group *g)
+static bool owned_by_earlier_process(const struct owner_group *g)
 {
 	const struct lead_vm self = owner_self(g->o);
 
@@ -378,7 +378,7 @@
 /**
  * Clears owner_lost when the owner answers heartbeats again. Only the VM that is to claim the group
  * asks the owner. A VM that had this role for a moment would otherwise keep sending statements to
- * the next VM in line, which refuses them, while the owner serves all other VMs.
+ * the VM that has it now, which refuses them, while the owner serves all other VMs.
  */
 static void detect_owner_return(struct owner_group *g)
 {
@@ -437,7 +437,7 @@
 	} else if (g->state == OWNER_NONE && g->invited) {
 		g->invited = false;
 		claim(g, "invited");
-	} else if (g->state == OWNER_NONE && (successor || was_own(g))) {
+	} else if (g->state == OWNER_NONE && (successor || owned_by_earlier_process(g))) {
 		/*
 		 * After a loss of all VMs the VM that is to claim the group would first have to
 		 * learn that the owner restarted, while the restarted VM knows at once that its
--- a/src/owner-command.c
+++ b/src/owner-command.c
@@ -10,7 +10,7 @@
 /** Number of commands reserved for a reset, a prepare, a begin and the statement. */
 #define COMMANDS_RESERVED 4
 
-static void note_value(struct owner_conn *c, const ml_value *v)
+static void save_value(struct owner_conn *c, const ml_value *v)
 {
 	g_hash_table_replace(c->values, g_strdup(v->name), g_strdup(v->value));
 }
@@ -47,7 +47,7 @@
 			continue;
 		out[n++] = (struct member_command){
 			.op = STATEMENT_SET, .name = v->name, .operand = v->value};
-		note_value(c, v);
+		save_value(c, v);
 		if (job->tx != NULL)
 			c->values_uncertain = true;
 	}
--- a/src/owner-conn.c
+++ b/src/owner-conn.c
@@ -12,7 +12,10 @@
 #define PROBE_CONNECTIONS 2
 /** Connections of the primary that are reserved for probes and for an owner that takes over. */
 #define PRIMARY_CONNECTIONS_RESERVED 4
-/** An owner or reader usually holds this part (1/n) of the connections a replica accepts. */
+/**
+ * An owner or reader usually holds at most 1/REPLICA_USUAL_DIVISOR of the connections that a
+ * replica accepts.
+ */
 #define REPLICA_USUAL_DIVISOR 3
 /** How long any unused connection is kept. */
 #define IDLE_KEEP_US (700 * USEC_PER_MSEC)
@@ -39,10 +42,10 @@
 #define ABANDONED_TIMEOUT_US (3 * USEC_PER_SEC)
 
 /**
- * Returns the most connections this VM opens to a member. For a replica it is half of what the
- * replica accepts: when the VM of an owner loses power, the member counts its connections for some
- * more seconds, and the next owner needs as many. On the primary, open transactions hold
- * connections between statements, so most are used.
+ * Returns the maximum number of connections that this VM opens to a member. For a replica it is
+ * half of what the replica accepts: when the VM of an owner loses power, the member counts its
+ * connections for some more seconds, and the next owner needs as many. On the primary, open
+ * transactions hold connections between statements, so most are used.
  */
 static unsigned conn_limit(const struct owner_member *m)
 {
@@ -63,7 +66,7 @@
  * it, an idle connection is replaced: if this VM loses power, connections held without need are
  * missing for the next owner.
  */
-static unsigned conn_usual(const struct owner_member *m)
+static unsigned conn_usual_limit(const struct owner_member *m)
 {
 	if (m == owner_group_primary(m->g))
 		return conn_limit(m);
@@ -77,8 +80,8 @@
 }
 
 /**
- * Whether this VM counts in member_users(). A VM that reads only while the owner is unreachable
- * does not.
+ * Whether this VM is one of those that member_users() counts. A VM that reads only while the owner
+ * is unreachable is not.
  */
 static bool is_user(const struct owner_group *g, int64_t now)
 {
@@ -86,7 +89,10 @@
 	       (g->last_local_read_us != 0 && now - g->last_local_read_us < LOCAL_READER_FRESH_US);
 }
 
-/** Returns how many VMs usually connect to @a m: the owner, and the readers that may choose it. */
+/**
+ * Returns how many VMs usually connect to @a m. For the primary it is the owner only; for a replica
+ * the owner, the reader of its data centre, and the readers of data centres without a member.
+ */
 static unsigned member_users(const struct owner_member *m)
 {
 	const struct fleet *f = owner_group_fleet(m->g);
@@ -233,7 +239,7 @@
 	 * A connection belongs to one team until it is closed. An idle one of another team is
 	 * closed to make room.
 	 */
-	c = m->n_conns >= conn_usual(m) ? conn_oldest_idle(m) : NULL;
+	c = m->n_conns >= conn_usual_limit(m) ? conn_oldest_idle(m) : NULL;
 	if (c != NULL)
 		conn_close(c);
 	else if (m->n_conns >= conn_limit(m))
--- a/src/owner-fence.c
+++ b/src/owner-fence.c
@@ -13,6 +13,7 @@
 /** Time limit for the answer of a sender that is asked to stop. */
 #define YIELD_TIMEOUT_US (200 * USEC_PER_MSEC)
 
+/** A request to stop in flight to a sender, or a read of its key in the store. */
 struct fence {
 	struct owner *o;
 	char pool[NAME_SIZE];
--- a/src/owner-job.c
+++ b/src/owner-job.c
@@ -11,8 +11,10 @@
  * take 110 ms; without the retry, the caller of a lost answer would wait until its deadline.
  */
 #define READ_RETRY_AFTER_US (250 * USEC_PER_MSEC)
-/** Most attempts for one statement that did not run. */
-#define TRIES_MAX 6
+/** Maximum number of attempts for one statement that did not run. */
+#define ATTEMPTS_MAX 6
+/** A read that a member failed to run is not retried if this many attempts failed before. */
+#define FAILED_READ_RETRIES_MAX 2
 /** Pause before a retry after a member had no free slot or connection, or could not be used. */
 #define BUSY_PAUSE_US (4 * USEC_PER_MSEC)
 /** Weight of a new sample in the moving average of the duration of a statement. */
@@ -49,7 +51,7 @@
 	g_free(job);
 }
 
-/** Logs one line per statement with what decided it and its outcome. */
+/** Logs the outcome of a statement, with the member, term, attempts and times behind it. */
 static void log_run(const struct owner_job *job, enum outcome o, const ml_run_res *res, int64_t now)
 {
 	const struct log_field fields[] = {
@@ -59,7 +61,7 @@
 		LOG_STR("member", job->conn != NULL ? job->conn->m->conf.name : ""),
 		LOG_STR("outcome", outcome_text(o)->name),
 		LOG_NUM("term", job->g->term),
-		LOG_NUM("tries", job->tries),
+		LOG_NUM("tries", job->failed_attempts),
 		LOG_NUM("queued_us", job->sent_us != 0 ? job->sent_us - job->received_us : 0),
 		LOG_NUM("us", now - job->received_us),
 		LOG_NUM("retry_after_us", res->retry_after_us),
@@ -138,7 +140,7 @@
 
 /**
  * Answers and frees the job. The answer is sent before the connection is released, since the
- * connection owns the texts of the answer.
+ * connection owns the strings of the answer.
  */
 static void job_finish(struct owner_job *job, enum outcome o, const struct member_answer *a)
 {
@@ -152,8 +154,8 @@
 {
 	int64_t now = now_us();
 
-	job->tries++;
-	if (job->tries >= TRIES_MAX || now + pause_us >= job->deadline_us) {
+	job->failed_attempts++;
+	if (job->failed_attempts >= ATTEMPTS_MAX || now + pause_us >= job->deadline_us) {
 		job_end(job, refusal, NULL, pause_us);
 		return;
 	}
@@ -449,7 +451,7 @@
 		return;
 	case MEMBER_FAILED:
 	case MEMBER_TIMEOUT:
-		if (!is_write(job) && job->tries < 2) {
+		if (!is_write(job) && job->failed_attempts < FAILED_READ_RETRIES_MAX) {
 			job->tried_members |= (uint8_t)(1U << index);
 			job_detach(job, false, a->state);
 			job_retry(job, OUTCOME_SQL_ERROR, 0);
--- a/src/owner-queue.c
+++ b/src/owner-queue.c
@@ -242,7 +242,7 @@
 	job_end(job, OUTCOME_BEHIND, NULL, 0);
 }
 
-/** Starts those of the dequeued jobs that had no member before and have one now. */
+/** Starts the jobs of the list held that a member can serve now. */
 static void dispatch_held(struct owner_group *g, int64_t now)
 {
 	struct owner_job *job, *next;
@@ -268,7 +268,7 @@
 
 /**
  * Starts jobs of @a q. A job that no member can serve now is moved to the list held, so that it
- * does not block those behind it. After BLOCKED_MAX such jobs no more are taken from the queue.
+ * does not block the jobs behind it. After BLOCKED_MAX such jobs no more are taken from the queue.
  */
 static void dispatch_queue(struct owner_group *g, struct fairq *q, int64_t now)
 {
@@ -408,7 +408,8 @@
 }
 
 /**
- * Whether reads wait at this reader for longer than they would for the other replicas of the owner.
+ * Whether so many reads wait at this reader that they would be served earlier by the owner, which
+ * can use all replicas.
  */
 static bool reader_busy(const struct owner_group *g)
 {
@@ -463,9 +464,9 @@
 		return OUTCOME_DONE;
 	*retry_after_us = owner_group_expected_wait_us(g, now);
 	/*
-	 * If the change of primary is expected to last longer than the statement may wait, its
-	 * caller is told now when to retry. A read without a known position has to wait for it too:
-	 * after a claim only a primary that was found or promoted reports one.
+	 * If the change of primary is expected to last longer than the statement may wait, the
+	 * statement is refused now with a time to retry. A read without a known position has to
+	 * wait for it too: after a claim only a primary that was found or promoted reports one.
 	 */
 	return *retry_after_us > (int64_t)a->deadline_us ? OUTCOME_NOT_PRIMARY : OUTCOME_DONE;
 }
--- a/src/owner-record.c
+++ b/src/owner-record.c
@@ -18,8 +18,8 @@
 /** Pause after a read or write of the record failed. */
 #define RETRY_US (100 * USEC_PER_MSEC)
 /**
- * How long other VMs leave it to the previous owner to write back what the store has lost of a
- * record.
+ * How long other VMs wait for the previous owner to write back a choice of primary that the store
+ * has lost.
  */
 #define RECOVER_PAUSE_US (500 * USEC_PER_MSEC)
 
@@ -245,6 +245,7 @@
 
 /* Reading and writing */
 
+/** A read or write of the record in flight. */
 struct record_call {
 	struct owner *o;
 	char pool[NAME_SIZE];
--- a/src/owner-watch.c
+++ b/src/owner-watch.c
@@ -32,6 +32,8 @@
 /** Most VMs that are asked whether they reach the primary, and the time limit for their answers. */
 #define REACH_VMS_MAX 3
 #define REACH_TIMEOUT_US (350 * USEC_PER_MSEC)
+/** Additional time for the answer of a VM to arrive. */
+#define REACH_RPC_MARGIN_US (50 * USEC_PER_MSEC)
 /** How long the answers of other VMs are used. */
 #define REACH_FRESH_US (1 * USEC_PER_SEC)
 
@@ -41,8 +43,8 @@
 		m->silent_since_us = now;
 }
 
-/** Whether no successor of the primary was ordered yet. */
-static bool still_leads(const struct owner_group *g)
+/** Whether the primary is not being replaced yet: no promotion of a successor was ordered. */
+static bool is_unreplaced_primary(const struct owner_group *g)
 {
 	if (g->state == OWNER_SERVING)
 		return true;
@@ -72,7 +74,7 @@
 	 * Only a primary that certainly was the primary when it answered provides marks. With marks
 	 * of a replaced one, reads would miss what its successor has acknowledged since.
 	 */
-	if (still_leads(g) && owner_group_may_send(g))
+	if (is_unreplaced_primary(g) && owner_group_may_send(g))
 		marks_add(&g->marks, pos, asked_us);
 }
 
@@ -248,6 +250,7 @@
 	}
 	if ((!m->listed && !may_return(m)) || !probe_due(m, now))
 		return;
+	/* Clears a request for a probe at once, which is 0. */
 	m->probe.next_us = 1;
 	if (m->probe.open)
 		probe_send(m);
@@ -257,6 +260,7 @@
 
 /* Asking other VMs whether they reach the primary */
 
+/** A request in flight to another VM, which tries to connect to the primary. */
 struct reach_query {
 	struct owner *o;
 	char pool[NAME_SIZE];
@@ -313,7 +317,7 @@
 		g_strlcpy(q->pool, g->pool, sizeof(q->pool));
 		g_strlcpy(q->vm, vm->name, sizeof(q->vm));
 		rpc_start(rpc_of(g->o->service.kernel), vm->address, ML_REACH, &args,
-			  REACH_TIMEOUT_US + 50 * USEC_PER_MSEC, reach_answered, q);
+			  REACH_TIMEOUT_US + REACH_RPC_MARGIN_US, reach_answered, q);
 	}
 	if (n == 0)
 		g->others_asked = true;
--- a/src/owner.c
+++ b/src/owner.c
@@ -14,17 +14,20 @@
  */
 #define LEASE_MARGIN_US (100 * USEC_PER_MSEC)
 /** Expected time of a promotion from the order to the first statement. */
-#define PROMOTE_US (1100 * USEC_PER_MSEC)
+#define EXPECTED_PROMOTION_US (1100 * USEC_PER_MSEC)
+/** Expected time of a step of a change of primary other than the promotion. */
+#define EXPECTED_STEP_US (50 * USEC_PER_MSEC)
 /** Expected time to find the primary if it is reachable. */
-#define FIND_SOON_US (300 * USEC_PER_MSEC)
+#define EXPECTED_FIND_US (300 * USEC_PER_MSEC)
 /**
- * How long a statement that no owner accepted is held against later ones. Without this limit, a VM
- * whose statements all wait for tokens would refuse them for good after one failure.
+ * How long a failure to find an owner that accepts a statement lets later statements be refused.
+ * Without this limit, a VM whose statements all wait for tokens would refuse them for good after
+ * one failure.
  */
 #define NOT_ACCEPTED_FRESH_US (1 * USEC_PER_SEC)
 /**
- * A primary that leaves requests unanswered for this long is most likely gone. Statements are told
- * to retry later, since they would otherwise wait until their deadline.
+ * A primary that leaves requests unanswered for this long is most likely gone. Statements are
+ * refused with a time to retry, since they would otherwise wait until their deadline.
  */
 #define PRIMARY_SILENT_US (300 * USEC_PER_MSEC)
 /** How long a VM that is not the owner keeps connections that it opened for reads. */
@@ -34,7 +37,9 @@
  * does not probe members.
  */
 #define READING_DOWN_US (1 * USEC_PER_SEC)
-/** Most statements that a cold member may get at once. */
+/** Assumed duration of a statement on a member that has not answered one yet. */
+#define SERVICE_INITIAL_US (10 * USEC_PER_MSEC)
+/** Maximum number of statements that a cold member may get at once. */
 #define COLD_BURST 1
 /**
  * How long open transactions may continue after this VM began to leave: half of its grace period.
@@ -128,19 +133,20 @@
 		/* A statement sent to it now would most likely get no answer. */
 		return m != NULL && m->silent_since_us != 0 &&
 				       now - m->silent_since_us > PRIMARY_SILENT_US
-			       ? PROMOTE_US
+			       ? EXPECTED_PROMOTION_US
 			       : 0;
 	case OWNER_NONE:
 		return 0;
 	case OWNER_AWAITING:
 	case OWNER_ORDERING:
-		return elapsed_us < PROMOTE_US ? PROMOTE_US - elapsed_us : 50 * USEC_PER_MSEC;
+		return elapsed_us < EXPECTED_PROMOTION_US ? EXPECTED_PROMOTION_US - elapsed_us
+							  : EXPECTED_STEP_US;
 	case OWNER_CLAIMING:
 	case OWNER_FINDING:
 		/* A reachable primary is found in 40 ms; after that no estimate is possible. */
-		return elapsed_us < FIND_SOON_US ? 50 * USEC_PER_MSEC : PROMOTE_US;
+		return elapsed_us < EXPECTED_FIND_US ? EXPECTED_STEP_US : EXPECTED_PROMOTION_US;
 	default:
-		return PROMOTE_US + 50 * USEC_PER_MSEC;
+		return EXPECTED_PROMOTION_US + EXPECTED_STEP_US;
 	}
 }
 
@@ -181,7 +187,7 @@
 	memset(m, 0, sizeof(*m));
 	m->g = g;
 	m->index = i;
-	m->service_us = 10.0 * USEC_PER_MSEC;
+	m->service_us = SERVICE_INITIAL_US;
 	TAILQ_INIT(&m->conns);
 	return m;
 }
--- a/src/owner.h
+++ b/src/owner.h
@@ -2,9 +2,9 @@
  * @file owner.h
  * Owner of a database group: the one VM that holds the connections to the members of the group,
  * runs callers' statements on them and manages the primary of the group (failure detection,
- * failover, planned change). Serves groups that have no consensus of their own and are led from
- * outside (see member.h). decide/lead.h has the rules for who may own a group and when its primary
- * may be replaced.
+ * failover, planned change). Serves groups that have no consensus protocol of their own: the proxy
+ * chooses their primary (see member.h). decide/lead.h has the rules for who may own a group and
+ * when its primary may be replaced.
  *
  * Terms: a pool is a database group as configured; a member is one database server of it. The entry
  * is the daemon a caller is connected to; it forwards statements to the owner by RPC. The record is
@@ -114,7 +114,7 @@
 	bool needs_primary;
 	bool on_primary; /**< sent to the member that was the primary at that time */
 	bool holds_slot; /**< counted in in_flight of its member */
-	unsigned tries;
+	unsigned failed_attempts;
 	uint8_t tried_members; /**< bit per member: could not serve the statement */
 	int64_t received_us;
 	int64_t deadline_us;
@@ -131,7 +131,7 @@
 	bool open;
 	bool pending; /**< a request is in flight */
 	int64_t sent_us;
-	int64_t next_us;
+	int64_t next_us; /**< no probe before this time; 0: a probe was requested */
 };
 
 struct owner_member {
@@ -146,8 +146,8 @@
 	struct owner_conns conns;
 	unsigned n_conns;
 	unsigned n_open;
-	struct keep_usage use;
-	unsigned in_flight; /**< statements that hold a slot of the member */
+	struct keep_usage use; /**< recent number of connections in use */
+	unsigned in_flight;    /**< statements that hold a slot of the member */
 	int64_t open_after_us;
 	unsigned full_limit; /**< connections open when it last refused one with MEMBER_FULL */
 	int64_t full_us;     /**< time of the last MEMBER_FULL refusal; 0: never */
@@ -161,8 +161,8 @@
 	int64_t down_us;	 /**< when it was marked down */
 	double service_us;	 /**< moving average of the duration of a statement */
 	struct owner_probe probe;
-	struct lead_candidate observed;
-	int64_t observed_us; /**< when the request behind @a observed was sent */
+	struct lead_candidate observed; /**< result of the last probe */
+	int64_t observed_us;		/**< when the request behind @a observed was sent */
 };
 
 enum owner_state {
@@ -208,8 +208,8 @@
 	bool owner_local;
 	char reported_primary[NAME_SIZE]; /**< primary, as last reported by the owner */
 	bool mark_query_pending;	  /**< a request for the newest mark is in flight */
-	int64_t mark_query_us;
-	uint64_t registration; /**< of this VM when the record was last confirmed */
+	int64_t mark_query_us;		  /**< when the last request for a mark was sent */
+	uint64_t registration;		  /**< of this VM when the record was last confirmed */
 	bool recovered;	       /**< the store lost a choice of primary that @a record has */
 	int64_t recover_at_us; /**< when this VM writes the lost choice back */
 	uint64_t lapses;       /**< lapses of this VM's lease when the record was last confirmed */
@@ -222,24 +222,24 @@
 	bool sending;		    /**< this VM may be sending, possibly as a previous owner */
 
 	enum owner_state state;
-	int64_t state_us;
-	int64_t last_move_us; /**< last attempt to hand the group to a VM near the primary */
+	int64_t state_us;     /**< when @a state was entered */
+	int64_t last_move_us; /**< last attempt to move the group to its primary's data centre */
 	bool leave_pending;   /**< the primary must leave, and no successor is chosen yet */
 	bool plan_recording;  /**< the record of a planned change is being written */
 	bool planned;	      /**< the change is planned: the primary is alive and leaves */
-	int target;
-	int excluded; /**< member that could not be promoted, or -1 */
-	uint64_t token;
+	int target;	      /**< member chosen as the next primary, or -1 */
+	int excluded;	      /**< member that could not be promoted, or -1 */
+	uint64_t token; /**< fencing token of a promotion: revision of the record with the choice */
 	int64_t unserved_since_us; /**< since when no primary serves; 0: one does */
-	bool ordered;
+	bool ordered;		   /**< the promotion of @a target was ordered */
 	struct succession succession;
 	struct {
-		bool possible; /**< no promotion was ordered for the recorded choice */
-		uint64_t floor;
+		bool possible;	/**< no promotion was ordered for the recorded choice */
+		uint64_t floor; /**< a primary is accepted only with a term above this one */
 		char target[NAME_SIZE];
-	} undo; /**< record fields before the choice */
-	int64_t chosen_us;
-	int64_t fence_next_us;
+	} undo;		       /**< record fields before the choice */
+	int64_t chosen_us;     /**< when @a target was chosen */
+	int64_t fence_next_us; /**< other senders are not asked to stop before this time */
 
 	unsigned n;
 	struct owner_member member[GROUP_MEMBERS_MAX];
@@ -247,8 +247,8 @@
 	uint64_t term;
 	struct marks marks;
 
-	bool others_asked;
-	unsigned others_pending;
+	bool others_asked;	    /**< other VMs have answered whether they reach the primary */
+	unsigned others_pending;    /**< VMs that have not answered yet whether they reach it */
 	char reached_by[NAME_SIZE]; /**< VM that reaches the primary while this VM does not */
 	int64_t others_asked_us;
 
@@ -367,8 +367,8 @@
 void change_tick(struct owner_group *g, int64_t now);
 /** Makes the member at @a i the primary and serves the group. */
 void change_set_primary(struct owner_group *g, int i, const char *why);
-/** Cancels a planned change that cannot be made now; the old primary continues. */
-void change_call_off(struct owner_group *g, const char *why);
+/** Cancels a planned change that cannot be made now: the old primary continues to serve. */
+void change_cancel(struct owner_group *g, const char *why);
 /** Whether the primary must be replaced although it may be alive. */
 bool change_must_leave(const struct owner_member *m, int64_t now);
 /**
@@ -381,16 +381,19 @@
 
 /* owner-choose.c */
 /**
- * Fills in the members as candidates. One counts as reached if its last probe result is younger
- * than @a fresh_us.
+ * Fills in the members as candidates. A member counts as reached if its last probe result is
+ * younger than @a fresh_us.
  */
 void choose_candidates(const struct owner_group *g, struct lead_candidate *c, const char **names,
 		       int64_t now, int64_t fresh_us);
 /** Returns the member to succeed the current primary, or -1; see choose_candidates(). */
 int choose_successor(const struct owner_group *g, int64_t now, int64_t fresh_us);
 /** Returns the member that is the primary according to the record, or -1. */
-int choose_leader(const struct owner_group *g, int64_t now);
-/** Writes the choice of @a target to the record. It must lead at a term above @a highest. */
+int choose_recorded_primary(const struct owner_group *g, int64_t now);
+/**
+ * Writes the choice of @a target to the record. As the primary it must have a term above
+ * @a highest.
+ */
 void choose_record(struct owner_group *g, int target, uint64_t highest, record_written cb);
 /** Reverts the recorded choice if no promotion was ordered for it. */
 void choose_undo(struct owner_group *g);
@@ -464,7 +467,7 @@
 void job_lost(struct owner_job *job, const char *why);
 
 /* owner-command.c */
-/** Most commands in one write. */
+/** Maximum number of commands in one write. */
 #define OWNER_COMMANDS_MAX 64
 /** Writes the commands that give the connection the session's values. @return their number */
 unsigned command_values(struct owner_job *job, struct member_command *out);
--- a/src/parts.c
+++ b/src/parts.c
@@ -13,9 +13,12 @@
  * others knowing.
  */
 #define CLAIM_STAGGER_US (400 * USEC_PER_MSEC)
-/** VMs of a data centre that watch the store and so learn of a free part first; see WATCHERS. */
+/**
+ * Number of VMs of a data centre that watch the store and so learn of a free part first. Equals
+ * WATCHERS in fleet-conf.c.
+ */
 #define WATCHERS_PER_DC 2
-/** Pause after a failed claim; within it the list of VMs shows which VM claimed the part. */
+/** Pause after a failed claim, in which the list of VMs shows which VM holds the part. */
 #define CLAIM_RETRY_US (1 * USEC_PER_SEC)
 /** Size of a part's key: prefix, data centre, index. */
 #define KEY_SIZE (NAME_SIZE + 32)
--- a/src/parts.h
+++ b/src/parts.h
@@ -1,8 +1,9 @@
 /**
  * @file parts.h
- * Ownership of the fixed parts of the teams' rates (decide/part.h). A part is held by the VM whose
- * lease its key in the platform's store is written under. So two VMs never hold the same part, and
- * a VM stops spending a part's tokens before the store can give the part to another VM.
+ * Ownership of the fixed parts of the teams' rates (decide/part.h). Each part has a key in the
+ * platform's store, written under the lease of the VM that holds the part. So two VMs never hold
+ * the same part, and a VM stops spending a part's tokens before the store can give the part to
+ * another VM.
  *
  * An era is a number that grows each time the store comes back from an older copy of its data.
  */
--- a/src/session-leave.c
+++ b/src/session-leave.c
@@ -18,7 +18,10 @@
 /** Time until sessions in a transaction are closed too; half of the grace period of a shutdown. */
 #define DRAIN_TX_US (3500 * USEC_PER_MSEC)
 #define TICK_US (50 * USEC_PER_MSEC)
-/** While the last contact with another data centre is this recent, no other VM is checked. */
+/**
+ * While the VM of the last contact with another data centre was in contact this recently, the
+ * other VMs are not checked.
+ */
 #define RECENT_CONTACT_US (200 * USEC_PER_MSEC)
 
 bool session_must_close(const struct session *s)
@@ -31,7 +34,7 @@
 {
 	switch (o) {
 	case OUTCOME_DONE:
-		/* A read that a replica served is not counted: other VMs would serve it too. */
+		/* A read that another VM could serve without the owner is not counted. */
 		if (s->reader == READER_OWNER && s->address[0] != '\0')
 			ready_count(&s->sessions->ready, true);
 		return;
--- a/src/session-remote.c
+++ b/src/session-remote.c
@@ -99,12 +99,12 @@
 static void retry_or_refuse(struct session *s, enum outcome o)
 {
 	int64_t now = now_us();
-	int64_t pause = MIN(RETRY_PAUSE_MIN_US << MIN(s->tries, 4U), RETRY_PAUSE_MAX_US);
+	int64_t pause = MIN(RETRY_PAUSE_MIN_US << MIN(s->failed_attempts, 4U), RETRY_PAUSE_MAX_US);
 	int64_t limit = MIN(s->deadline_us, s->started_us + OWNER_WAIT_US);
 	int64_t not_accepted_us =
 		owner_note_accepted(owner_of(session_kernel(s)), s->route.pool, false);
 
-	s->tries++;
+	s->failed_attempts++;
 	/*
 	 * Reads need no owner while its last mark (a log position known to include all earlier
 	 * acknowledged writes) is recent enough for them: a reachable replica serves them.
@@ -199,7 +199,7 @@
 		session_free(s);
 		return;
 	}
-	if (s->tries == 0)
+	if (s->failed_attempts == 0)
 		log_info("owner-call-lost", LOG_STR("request", s->st.request),
 			 LOG_STR("pool", s->route.pool), LOG_STR("address", s->address),
 			 LOG_NUM("sent", status != RPC_NOT_SENT));
@@ -320,8 +320,8 @@
 /**
  * Returns whether an operation that has to wait for a rate token would be refused after the wait,
  * since no owner accepts statements. An isolated VM also has only a small part of the rate; without
- * this check its callers waited 0.3 s for each refusal. Operations that need not wait go on, and
- * detect an owner that is back.
+ * this check its callers would wait 0.3 s for each refusal. Operations that need not wait go on,
+ * and detect an owner that is back.
  */
 bool session_wait_would_fail(struct session *s)
 {
--- a/src/session-state.h
+++ b/src/session-state.h
@@ -52,7 +52,7 @@
 	bool starts_operation; /**< not inside a transaction that is already open */
 	int64_t started_us;
 	int64_t deadline_us;
-	unsigned tries; /**< attempts that have failed */
+	unsigned failed_attempts;
 	char address[ADDRESS_SIZE];
 	int64_t sent_us;
 	enum owner_reader reader; /**< which VMs may serve this attempt */
--- a/src/session.c
+++ b/src/session.c
@@ -100,8 +100,9 @@
 
 	/*
 	 * A VM that has just started has no configuration for about 20 ms, or for as long as it
-	 * reaches neither the store nor a peer. Without this check its callers got the permanent
-	 * error that their database does not exist, as if the configuration had been reverted.
+	 * reaches neither the store nor a peer. Without this check its callers would get the
+	 * permanent error that their database does not exist, as if the configuration had been
+	 * reverted.
 	 */
 	if (conf->version == 0)
 		return OUTCOME_LEAVING;
@@ -168,7 +169,7 @@
 		log_info("answer", LOG_STR("request", s->st.request), LOG_STR("team", s->team),
 			 LOG_STR("kind", s->database), LOG_STR("pool", s->route.pool),
 			 LOG_STR("outcome", outcome_text(a->outcome)->name),
-			 LOG_STR("by", s->address), LOG_NUM("tries", s->tries),
+			 LOG_STR("by", s->address), LOG_NUM("tries", s->failed_attempts),
 			 LOG_NUM("us", now_us() - s->started_us),
 			 LOG_NUM("conf", conf_of(s)->version),
 			 LOG_NUM("retry_after_us", a->retry_after_us));
@@ -327,7 +328,7 @@
 	s->reader = READER_OWNER;
 	s->local_reader_failed = false;
 	s->st = *st;
-	s->tries = 0;
+	s->failed_attempts = 0;
 	s->address[0] = '\0';
 	s->started_us = now_us();
 	s->starts_operation = s->tx == TX_NONE;
--- a/src/shares-ask.c
+++ b/src/shares-ask.c
@@ -25,6 +25,7 @@
 /** A team with a lower ratio of successful rounds counts as over its rate. */
 #define WITHIN_RATE_RATIO_MIN 0.5
 
+/** A request for tokens in flight to the VM that holds a part. */
 struct ask {
 	struct shares *s;
 	char team[NAME_SIZE];
@@ -48,6 +49,7 @@
 	return part->address;
 }
 
+/** Writes the parts that have tokens of the team to @a places. @return their number */
 static unsigned places_list(struct shares_team *t, struct part_candidate places[SHARES_PLACES_MAX])
 {
 	struct shares *s = t->s;
--- a/src/shares-report.c
+++ b/src/shares-report.c
@@ -19,6 +19,7 @@
 
 /* Holder's side */
 
+/** A message in flight to an allocator, with reports of teams. */
 struct report {
 	struct shares *s;
 	char address[ADDRESS_SIZE];
@@ -110,9 +111,9 @@
 
 /**
  * Finds the VMs that have the allocator roles. There are few roles, because with one allocator per
- * team each VM of a large fleet would write to nearly all others every second.
+ * team each VM of a large fleet would send reports to nearly all others every second.
  *
- * A new allocator gives out nothing before every VM has reported to it. Idle holders report only
+ * A new allocator assigns nothing before every VM has reported to it. Idle holders report only
  * every SHARE_REPORT_IDLE_US, and its teams would have no tokens for that long. Therefore all
  * holders report at once to a new allocator: it has all reports within two round trips after the
  * change is known.
@@ -219,7 +220,7 @@
 	return t->alloc;
 }
 
-/** Most holders that are asked for a report at a time. */
+/** Maximum number of holders that are asked for a report at a time. */
 #define REPORT_REQUESTS_MAX 16
 
 static void request_report(struct kernel *k, const char *name, const char *team, unsigned role)
@@ -249,7 +250,7 @@
 
 /**
  * Requests reports from the holders that have not reported yet to an allocator on this VM. The
- * allocator gives out nothing new until every holder has reported, and idle holders report only
+ * allocator assigns no more units until every holder has reported, and idle holders report only
  * every SHARE_REPORT_IDLE_US: during a rolling restart of VMs, requests of its teams would be
  * refused.
  */
@@ -294,11 +295,11 @@
 	rpc_reply(rq, &res);
 }
 
-/** Least time between two log lines about an allocator that still waits for reports. */
+/** Minimum time between two log lines about an allocator that still waits for reports. */
 #define CENSUS_LOG_INTERVAL_US (1 * USEC_PER_SEC)
 
 /**
- * Logs that the allocator may give out the whole rate because every VM has reported, or which VMs
+ * Logs that the allocator may assign the whole rate because every VM has reported, or how many VMs
  * it still waits for.
  */
 static void census_log(struct shares_team *t, int64_t now)
--- a/src/shares-state.h
+++ b/src/shares-state.h
@@ -1,6 +1,8 @@
 /**
  * @file shares-state.h
- * State shared by the files of the admission service.
+ * State shared by the files of the admission service. The allocator of a team is the VM that
+ * assigns the moving parts of the team's rate to VMs; a fixed part belongs to the VM that holds its
+ * key.
  *
  * shares.c        teams, admission, the service
  * shares-report.c parts of rates that move between VMs, see decide/share.h
@@ -15,7 +17,10 @@
 #include "share.h"
 #include "shares.h"
 
-/** Number of allocator roles; teams are spread over them by the hash of their name. */
+/**
+ * Number of allocator roles. Each role is held by one VM; teams are spread over the roles by the
+ * hash of their name.
+ */
 #define ALLOCATORS 8
 /**
  * Tokens from another VM that took longer to arrive are discarded: the burst there has filled up
@@ -26,7 +31,7 @@
 /** Most places (fixed parts of all data centres) that may be asked for a team's tokens. */
 #define SHARES_PLACES_MAX (FLEET_DATA_CENTERS_MAX * PARTS_PER_DC)
 
-/** State of asking other VMs for tokens of a team. */
+/** State of asking other VMs for tokens of a team. A round is described in shares-ask.c. */
 struct shares_ask {
 	bool in_flight; /**< an RPC is in flight */
 	uint64_t tried; /**< bit mask of the places that had too few tokens in this round */
@@ -103,7 +108,7 @@
  * takes a token.
  */
 void shares_check_pause(struct shares *s, int64_t now);
-/** Has ticks process the team until it has no waiting request and no round in progress. */
+/** Makes the timer process the team until it has no waiting request and no round in progress. */
 void team_mark_busy(struct shares_team *t);
 
 /* shares-report.c */
--- a/src/shares.c
+++ b/src/shares.c
@@ -15,7 +15,7 @@
 #define TOKEN_WAIT_MAX_US (1000 * USEC_PER_MSEC)
 /**
  * Longest wait for a token of a team that is over its rate. Waiting does not raise the number of
- * requests that are served, it only makes them later.
+ * requests that are served, it only delays them.
  */
 #define OVER_RATE_WAIT_MAX_US (40 * USEC_PER_MSEC)
 /** Longest wait for a token of a team with fixed parts that is within its rate. */
--- a/src/shares.h
+++ b/src/shares.h
@@ -43,8 +43,8 @@
 /**
  * Settles the token of @a a once its operation has ended or begun to run. With @a ran false the
  * token returns to the bucket for the next request: while a group has no primary its callers retry,
- * each try takes a token, and without the return these tries would use up the team's rate for
- * operations on other groups too.
+ * each attempt takes a token, and without the return these attempts would use up the team's rate
+ * for operations on other groups too.
  */
 void shares_settle(struct shares *s, const char *team, struct admission *a, bool ran);
 /** Returns the team's weight in fair queues, which is its rate. */
--- a/src/statement.h
+++ b/src/statement.h
@@ -35,7 +35,10 @@
 	bool write;    /**< of a prepared statement */
 };
 
-/** Returns whether a statement other than BEGIN and COMMIT writes; @a write is for EXECUTE. */
+/**
+ * Returns whether a statement other than BEGIN and COMMIT writes. @param write whether the prepared
+ * statement writes, for EXECUTE
+ */
 static inline bool statement_writes(enum statement_op op, bool write)
 {
 	return op == STATEMENT_WRITE || (op == STATEMENT_EXECUTE && write);
--- a/tests/harness-owner.c
+++ b/tests/harness-owner.c
@@ -66,6 +66,7 @@
 
 /* The store answers at once unless the test holds answers back */
 
+/** An answer of the store that is held back. */
 struct held {
 	enum store_status status;
 	uint64_t lease;
--- a/tests/harness-owner.h
+++ b/tests/harness-owner.h
@@ -24,7 +24,7 @@
 	member_order_done told;
 	member_closed ended;
 	void *arg;
-	bool closed;
+	bool closed; /**< closed by the owner service */
 };
 
 #define FAKE_CONNS_MAX 4096
--- a/tests/test-change.c
+++ b/tests/test-change.c
@@ -91,10 +91,11 @@
  * lease of the previous owner may end before.
  */
 
-/** The environment variable SEED=N runs just one seed. */
+/** Number of random seeds. The environment variable SEED=N runs just one seed. */
 #define SEEDS 1500
 #define MEMBERS 3
 #define TERM 1
+/** Time from a promotion until the replaced primary, if reachable, becomes a replica. */
 #define DEMOTE_US (1 * USEC_PER_SEC)
 /**
  * Time after the heal until a probe that began during the partition has ended and the next one is
@@ -124,12 +125,12 @@
 	struct model_member member[MEMBERS];
 	uint64_t acknowledged; /**< newest acknowledged position, in TERM */
 	int seed;
-	bool ordered; /**< a promotion was ordered */
-	int target;   /**< of the promotion in progress; -1: none */
-	int64_t effect_us;
+	bool ordered;		/**< a promotion was ordered */
+	int target;		/**< of the promotion in progress; -1: none */
+	int64_t effect_us;	/**< when the promotion takes effect */
 	bool ordered_reachable; /**< the primary was reachable at the first order */
 	bool promoted;
-	enum owner_state at_heal;
+	enum owner_state at_heal; /**< state of the group when the partition healed */
 	struct owner_group *g;
 } model;
 
@@ -169,7 +170,7 @@
 				      .quiet_us = (int64_t)a->quiet_us,
 				      .heard_us = model.last_contact_us};
 
-	/* Stands for a lost answer: it reports nothing. */
+	/* An answer without content stands for one that is lost in the partition. */
 	if (partitioned()) {
 		res = (ml_yield_res){.primary = ""};
 		rpc_reply(rq, &res);
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -44,6 +44,10 @@
 	read_by(w, READER_LOCAL, 1500, 800);
 }
 
+/*
+ * Guards against data older than the route allows: the replica must be asked to wait for the
+ * position of the mark.
+ */
 static void test_a_read_asks_for_the_position_that_it_needs(void)
 {
 	struct world w;
@@ -112,7 +116,7 @@
  * change to the record. The record is written first, and the old primary continues while that
  * fails.
  */
-static void test_a_planned_change_that_cannot_be_written_stops_nothing(void)
+static void test_primary_serves_while_planned_change_is_not_recorded(void)
 {
 	int64_t until = test_now_ms() + 5000;
 	struct owner_group *g;
@@ -172,7 +176,7 @@
  * cannot be written to the record, so the primary continues, but only until the time that members
  * have for leaving is nearly used up.
  */
-static void test_a_leaving_primary_is_not_used_for_longer_than_it_may(void)
+static void test_leaving_primary_is_not_used_beyond_its_leave_time(void)
 {
 	int64_t until = test_now_ms() + 3000;
 	struct owner_group *g;
@@ -195,7 +199,7 @@
  * group remembers the primary. A read that it sent to that member for itself counted as one to its
  * own primary, to which it may not send, and was retried again and again.
  */
-static void test_a_former_owner_reads_at_the_former_primary(void)
+static void test_previous_owner_reads_at_the_previous_primary(void)
 {
 	struct owner_group *g;
 	struct world w;
@@ -289,10 +293,10 @@
 
 /*
  * Guards against refusing a small team's callers at one VM for good. All their statements wait for
- * tokens there, and one of them found no owner for a moment. If this were held against later ones,
- * none would be sent to find that the owner is back.
+ * tokens there, and one of them found no owner for a moment. If later
+ * statements were refused because of it, none would be sent and show that the owner is back.
  */
-static void test_one_failure_does_not_refuse_all_that_follows(void)
+static void test_unaccepted_statement_does_not_refuse_later_ones_for_good(void)
 {
 	struct owner_group *g;
 	struct world w;
@@ -312,7 +316,7 @@
  * more than a third of all calls to the store at 81 VMs and 8 groups. Only the VM that is to claim
  * the group, or one that learned of a newer record, needs it.
  */
-static void test_only_who_may_claim_reads_the_record(void)
+static void test_record_is_read_only_by_a_vm_that_may_claim(void)
 {
 	struct owner_group *g;
 	struct peers *peers;
@@ -341,7 +345,7 @@
  * The primary is back after three seconds, but the change of primary waits until the lease of the
  * previous owner has ended. No promotion was ordered yet, so the primary must continue.
  */
-static void test_a_primary_that_is_back_before_the_order_goes_on(void)
+static void test_primary_back_before_promotion_order_continues(void)
 {
 	const struct lead_vm other = {.name = "vm-9", .incarnation = 5};
 	int64_t until = test_now_ms() + 3000;
@@ -562,7 +566,7 @@
  * Guards against a promotion while the owner serves: a VM that has not learned of the restart of
  * the owner takes the new process, which the record names, for one that has ended.
  */
-static void test_an_owner_is_not_taken_for_its_former_process(void)
+static void test_restarted_owner_is_not_taken_for_its_previous_process(void)
 {
 	struct vm_listing l[] = {
 		{.name = "vm-1", .address = SELF, .data_center = "dc"},
@@ -681,35 +685,36 @@
 	 test_sender_missing_from_restored_record_stops},
 	{"owner_sends_under_its_previous_lease", test_owner_sends_under_its_previous_lease},
 	{"a_restarted_owner_takes_its_group_back", test_a_restarted_owner_takes_its_group_back},
-	{"an_owner_is_not_taken_for_its_former_process",
-	 test_an_owner_is_not_taken_for_its_former_process},
-	{"a_primary_that_is_back_before_the_order_goes_on",
-	 test_a_primary_that_is_back_before_the_order_goes_on},
+	{"restarted_owner_is_not_taken_for_its_previous_process",
+	 test_restarted_owner_is_not_taken_for_its_previous_process},
+	{"primary_back_before_promotion_order_continues",
+	 test_primary_back_before_promotion_order_continues},
 	{"written_group_does_not_use_the_initial_find_timeout",
 	 test_written_group_does_not_use_the_initial_find_timeout},
 	{"only_usual_readers_keep_connections", test_only_usual_readers_keep_connections},
 	{"an_unused_connection_is_closed", test_an_unused_connection_is_closed},
 	{"a_reader_far_from_all_members_asks_replicas",
 	 test_a_reader_far_from_all_members_asks_replicas},
-	{"one_failure_does_not_refuse_all_that_follows",
-	 test_one_failure_does_not_refuse_all_that_follows},
+	{"unaccepted_statement_does_not_refuse_later_ones_for_good",
+	 test_unaccepted_statement_does_not_refuse_later_ones_for_good},
 	{"statements_go_to_an_owner_that_is_reachable_again",
 	 test_statements_go_to_an_owner_that_is_reachable_again},
 	{"a_primary_that_is_back_is_not_promoted", test_a_primary_that_is_back_is_not_promoted},
 	{"reads_without_expected_mark_are_refused_at_once",
 	 test_reads_without_expected_mark_are_refused_at_once},
-	{"a_former_owner_reads_at_the_former_primary",
-	 test_a_former_owner_reads_at_the_former_primary},
+	{"previous_owner_reads_at_the_previous_primary",
+	 test_previous_owner_reads_at_the_previous_primary},
 	{"replicas_that_serve_reads_can_follow_a_leaving_primary",
 	 test_replicas_that_serve_reads_can_follow_a_leaving_primary},
-	{"a_leaving_primary_is_not_used_for_longer_than_it_may",
-	 test_a_leaving_primary_is_not_used_for_longer_than_it_may},
-	{"a_planned_change_that_cannot_be_written_stops_nothing",
-	 test_a_planned_change_that_cannot_be_written_stops_nothing},
+	{"leaving_primary_is_not_used_beyond_its_leave_time",
+	 test_leaving_primary_is_not_used_beyond_its_leave_time},
+	{"primary_serves_while_planned_change_is_not_recorded",
+	 test_primary_serves_while_planned_change_is_not_recorded},
 	{"a_read_asks_for_the_position_that_it_needs",
 	 test_a_read_asks_for_the_position_that_it_needs},
 	{"read_without_recent_mark_is_refused", test_read_without_recent_mark_is_refused},
 	{"a_read_is_not_sent_without_a_position", test_a_read_is_not_sent_without_a_position},
-	{"only_who_may_claim_reads_the_record", test_only_who_may_claim_reads_the_record},
+	{"record_is_read_only_by_a_vm_that_may_claim",
+	 test_record_is_read_only_by_a_vm_that_may_claim},
 };
 HARNESS_MAIN("owner", cases)
--- a/tests/test-parts.c
+++ b/tests/test-parts.c
@@ -150,7 +150,7 @@
 	g_free(other);
 }
 
-/* Another VM was first, and its key stands. */
+/* Guards against spending a part whose claim conflicted with the key of another VM. */
 static void test_a_lost_claim_holds_nothing(void)
 {
 	char *other = part_of("vm-2", 4, 9);
--- a/tests/test-shares.c
+++ b/tests/test-shares.c
@@ -248,7 +248,10 @@
 	CU_ASSERT_EQUAL(r.verdict, 1);
 }
 
-/* Right after no VM had a token, a request of a team over its rate is refused without an RPC. */
+/*
+ * Guards against useless RPCs. Right after no VM had a token, a request of a team over its rate is
+ * refused without asking again.
+ */
 static void test_vms_without_tokens_are_not_asked_again_at_once(void)
 {
 	struct request r;
@@ -319,7 +322,7 @@
 
 /*
  * Guards against operations being refused for lack of tokens because another group has no primary:
- * the tries of that group's callers each took a token and were refused without having run. The
+ * each retry of that group's callers took a token and was refused without having run. The
  * token of an operation that did not run goes to the next one, including one that waits already.
  */
 static void test_an_operation_that_did_not_run_returns_its_token(void)
