--- a/decide/bucket.c
+++ b/decide/bucket.c
@@ -3,8 +3,10 @@
 
 /** Waits longer than a day are reported as "never". */
 #define WAIT_MAX_US (86400 * USEC_PER_SEC)
+/** Tolerance, in tokens, for rounding errors of the balance. */
+#define ROUNDING_TOLERANCE_TOKENS 1e-9
 
-/** Most tokens that may be held: the burst less the reserved tokens, which may be refunded. */
+/** @return maximum number of tokens held: the burst less the tokens that may be refunded */
 static double refill_limit(const struct bucket *b)
 {
 	return b->burst > b->reserved ? b->burst - b->reserved : 0;
@@ -50,7 +52,7 @@
 bool bucket_take(struct bucket *b, double n, int64_t now_us)
 {
 	bucket_fill(b, now_us);
-	if (b->tokens + 1e-9 < n)
+	if (b->tokens + ROUNDING_TOLERANCE_TOKENS < n)
 		return false;
 	b->tokens -= n;
 	return true;
--- a/decide/bucket.h
+++ b/decide/bucket.h
@@ -9,11 +9,11 @@
 #include "types.h"
 
 struct bucket {
-	double rate;	 /**< tokens a second */
-	double burst;	 /**< most tokens held */
-	double tokens;	 /**< tokens held at @a at_us */
-	double reserved; /**< tokens reserved and not settled yet */
-	int64_t updated_us;
+	double rate;	    /**< tokens per second */
+	double burst;	    /**< maximum number of tokens held */
+	double tokens;	    /**< tokens held at @a updated_us */
+	double reserved;    /**< tokens reserved and not settled yet */
+	int64_t updated_us; /**< when tokens were last added for elapsed time */
 };
 
 /** Initialise the bucket with @a tokens held. */
@@ -33,8 +33,8 @@
 
 /**
  * Reserve a token for an operation that may turn out not to run; bucket_settle() must follow.
- * Reserved tokens count towards the burst: all of them may be refunded at once, and without this
- * the refund would come on top of a burst that has refilled in the meantime.
+ * Reserved tokens count towards the burst, since all of them may be refunded at once: otherwise the
+ * refund would be added to a burst that has refilled in the meantime.
  * @return false when no token is held
  */
 bool bucket_reserve(struct bucket *b, int64_t now_us);
--- a/decide/conf.c
+++ b/decide/conf.c
@@ -297,7 +297,10 @@
 	for (l = c->tombstones.head; l != NULL; l = l->next) {
 		const struct conf_entry *e = l->data;
 
-		/* An entry that was added again after its removal is listed itself. */
+		/*
+		 * The tombstone of an entry that was added again is skipped: the entry itself is
+		 * in the list.
+		 */
 		if (!g_hash_table_contains(c->entries, e->id))
 			g_ptr_array_add(c->sorted, l->data);
 	}
--- a/decide/conf.h
+++ b/decide/conf.h
@@ -17,7 +17,7 @@
 
 /** Bytes of a key's hash (BLAKE2b). */
 #define KEY_HASH_SIZE 32
-/** Number of tombstones kept, so that an update to a VM with an older version can name them. */
+/** Number of tombstones kept, so that an update for a VM with an older version contains them. */
 #define CONF_TOMBSTONES_MAX 1024
 
 enum conf_kind {
@@ -128,7 +128,7 @@
 	GHashTable *pools;   /**< maps name to conf_entry */
 	uint64_t changed[CONF_KINDS]; /**< version that last changed an entry of the kind */
 	GQueue tombstones;	      /**< tombstones, oldest first */
-	GPtrArray *sorted;	      /**< see conf_sorted(); NULL until it is first needed */
+	GPtrArray *sorted; /**< all entries and tombstones, sorted by id; NULL until needed */
 };
 
 /** A change to a configuration. */
@@ -136,8 +136,8 @@
 	uint64_t base; /**< it contains the entries that changed after this version */
 	uint64_t version;
 	bool full;	 /**< it contains all entries; others are to be removed */
-	uint64_t oldest; /**< in a full update: changes since this version can be sent on as an
-			    incremental update; 0: only those since @a version */
+	uint64_t oldest; /**< in a full update: oldest version from which the receiver can send
+			    incremental updates to other VMs; 0: @a version */
 	GPtrArray *entries;
 };
 
--- a/decide/confirm.h
+++ b/decide/confirm.h
@@ -17,7 +17,7 @@
 enum confirm_verdict {
 	CONFIRM_WAIT,
 	CONFIRM_YES,
-	CONFIRM_LOST, /**< a later term starts before the record, so it is discarded */
+	CONFIRM_LOST, /**< discarded: a later term starts before the record's position */
 };
 
 /** @return how many replicas must have the record besides the primary in a group of @a members */
--- a/decide/era.h
+++ b/decide/era.h
@@ -42,7 +42,8 @@
  */
 struct era {
 	uint64_t now;	  /**< current era; 0: not known yet */
-	int64_t since_us; /**< when a restore was noticed, or a VM in an earlier era; 0: neither */
+	int64_t since_us; /**< when this process noticed a restore or a VM in an earlier era, or 0
+			   */
 };
 
 /** Records the era of a store response. @return whether the store was restored */
--- a/decide/failover.c
+++ b/decide/failover.c
@@ -7,8 +7,7 @@
 #define FAILOVER_RANK_DELAY_US (300 * USEC_PER_MSEC)
 /** Maximum random delay before the next attempt, so that two promoters stop fencing each other. */
 #define FAILOVER_JITTER_MAX_US (200 * USEC_PER_MSEC)
-
-/** Minimum time from a promotion to the next failover, until reports show the promotion. */
+/** Delay from a promotion to the next failover; by then, reports show the new primary. */
 #define FAILOVER_SETTLE_DELAY_US (500 * USEC_PER_MSEC)
 
 static const struct failover_order no_order = {.act = FAILOVER_NOTHING, .member = -1};
@@ -33,6 +32,7 @@
 	 */
 	if (group_highest_term(g) == 0)
 		return INT64_MAX;
+	/* There is no primary, or only one of an earlier term: the timeout counts as elapsed. */
 	if (primary < 0 || g->member[primary].state == MEMBER_UP)
 		return now_us - FAILOVER_DOWN_TIMEOUT_US;
 	return g->member[primary].down_since_us;
--- a/decide/group.h
+++ b/decide/group.h
@@ -49,7 +49,7 @@
 	unsigned n;
 	struct member_view member[GROUP_MEMBERS_MAX];
 	struct age_sample sample[AGE_SAMPLES]; /**< ring buffer, in order of arrival */
-	unsigned samples;		       /**< number written since the last reset */
+	unsigned samples;		       /**< number added since the last reset */
 	uint64_t sample_term;		       /**< term of the samples */
 };
 
@@ -81,8 +81,9 @@
 uint64_t group_highest_term(const struct group_view *g);
 /**
  * Computes an upper bound of the age, in microseconds, of data that contains all records up to
- * @a lsn in the primary's term: the time since the last request for the primary's position that
- * was answered with a position of at most @a lsn was sent. Only this VM's clock is used.
+ * @a lsn in the primary's term. Of the requests for the primary's position that were answered with
+ * @a lsn or less, the latest one is taken; the bound is the time since it was sent. Only this VM's
+ * clock is used.
  * @return INT64_MAX if there is no such sample
  */
 int64_t group_age_us(const struct group_view *g, uint64_t lsn, int64_t now_us);
--- a/decide/keep.c
+++ b/decide/keep.c
@@ -8,10 +8,11 @@
 /** Length of a window over which struct keep_usage records the peak. */
 #define PEAK_WINDOW_US (5 * USEC_PER_SEC)
 /**
- * Sets of connections that are left unused by the limit: after a power loss, the member counts the
- * connections of the lost VM until it drops them, and the VM that takes over needs as many.
+ * How many times its own needs a VM leaves free of idle connections. After a power loss, the member
+ * counts the connections of the lost VM until it drops them, and the VM that takes over needs as
+ * many again.
  */
-#define RESERVED_GENERATIONS 2
+#define RESERVED_MULTIPLE 2
 
 void keep_record_use(struct keep_usage *u, unsigned used, int64_t now_us)
 {
@@ -34,7 +35,7 @@
 {
 	unsigned part = m->users > 0 ? m->connections / m->users : m->connections;
 	unsigned usual = m->slots + PLACE_PIPELINE_DEPTH;
-	unsigned needed = RESERVED_GENERATIONS * (m->most > usual ? m->most : usual);
+	unsigned needed = RESERVED_MULTIPLE * (m->most > usual ? m->most : usual);
 
 	return part > needed ? part - needed : 0;
 }
--- a/decide/keep.h
+++ b/decide/keep.h
@@ -4,8 +4,8 @@
  * connection belongs to one team, and opening one occupies a slot of the member for as long as a
  * statement does. An idle connection of a VM that lost power is not available to the VM that takes
  * over until the member drops it. The limit has to suit two loads: few teams on a member that
- * accepts few connections, where each idle connection is one too few for others, and many teams
- * that take turns, where without idle connections nearly every statement opens a new one.
+ * accepts few connections, where each idle connection is one less for other VMs and teams, and many
+ * teams that take turns, where without idle connections nearly every statement opens a new one.
  */
 #ifndef DECIDE_KEEP_H
 #define DECIDE_KEEP_H
--- a/decide/lead.c
+++ b/decide/lead.c
@@ -72,7 +72,7 @@
 	if (known->choices <= r->choices)
 		return false;
 	r->choices = known->choices;
-	r->floor = known->floor;
+	r->term_floor = known->term_floor;
 	snprintf(r->target, sizeof(r->target), "%s", known->target);
 	return true;
 }
@@ -88,7 +88,7 @@
 		 * A primary that was replaced still reports to be primary until it learns of the
 		 * new one. Writes that it accepts are discarded later and must not be acknowledged.
 		 */
-		if (!c[i].reached || !c[i].primary || c[i].term <= r->floor)
+		if (!c[i].reached || !c[i].primary || c[i].term <= r->term_floor)
 			continue;
 		if (r->target[0] != '\0' && strcmp(names[i], r->target) != 0)
 			continue;
@@ -116,7 +116,7 @@
 {
 	int64_t timeout = s->refused ? REFUSED_TIMEOUT_US : UNANSWERED_TIMEOUT_US;
 
-	if (s->unheard_us == 0 || now_us - s->unheard_us < timeout)
+	if (s->unanswered_since_us == 0 || now_us - s->unanswered_since_us < timeout)
 		return LEAD_HEALTHY;
 	/*
 	 * The primary may be unreachable from this VM only. A promotion would then stop all writes
--- a/decide/lead.h
+++ b/decide/lead.h
@@ -29,10 +29,10 @@
 	unsigned n;		    /**< number of senders */
 	/** VMs besides the owner that may still be sending. */
 	struct lead_vm sender[LEAD_SENDERS_MAX];
-	/** Only the target is accepted as primary, and only with a term above this one. */
-	uint64_t floor;
-	char target[NAME_SIZE]; /**< chosen primary; "" before the first change of primary */
-	uint64_t choices;	/**< how often floor and target have been changed */
+	uint64_t term_floor;	/**< a member is accepted as primary only with a higher term */
+	char target[NAME_SIZE]; /**< only member accepted as primary; "" before the first change of
+				   primary, when any member is accepted */
+	uint64_t choices;	/**< number of times that term_floor and target were set */
 };
 
 bool lead_vm_equal(const struct lead_vm *a, const struct lead_vm *b);
@@ -51,9 +51,9 @@
 		bool previous_ended);
 
 /**
- * Copies the choice of a primary (floor, target, choices) from @a known to @a r if @a known has a
- * later one. A store restored from an older copy may lack the last choice; without it the member
- * that was replaced would be accepted as primary again.
+ * Copies the choice of a primary (term_floor, target, choices) from @a known to @a r if @a known
+ * has a later one. A store restored from an older copy may lack the last choice; without it the
+ * member that was replaced would be accepted as primary again.
  * @return whether @a r was changed
  */
 bool lead_recover_choice(struct lead_record *r, const struct lead_record *known);
@@ -82,9 +82,9 @@
 
 /** What is known about a primary that does not answer. */
 struct lead_silence {
-	int64_t unheard_us; /**< since when requests have been unanswered; 0: none is */
-	bool refused;	    /**< it refuses connections */
-	bool others_asked;  /**< other VMs were asked recently whether they can reach the primary */
+	int64_t unanswered_since_us; /**< since when requests go unanswered; 0: none */
+	bool refused;		     /**< it refuses connections */
+	bool others_asked; /**< other VMs were asked recently whether they can reach the primary */
 	unsigned others_silent; /**< number of VMs that answered that they cannot reach it */
 };
 
--- a/decide/marks.h
+++ b/decide/marks.h
@@ -27,7 +27,8 @@
 	unsigned first; /**< index of the oldest mark in the ring buffer */
 	unsigned n;
 	struct mark mark[MARKS_MAX];
-	struct mark newest;    /**< from all answers, also those closer than MARKS_INTERVAL_US */
+	struct mark newest;    /**< highest position and latest time of all answers, also of those
+				  closer than MARKS_INTERVAL_US */
 	struct pos term_start; /**< first position seen in the current term */
 };
 
--- a/decide/page.c
+++ b/decide/page.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/** A peer that does not request the next page within this time is gone or asks another VM. */
+/** The slot of a peer that requests no further page within this time may be given to another. */
 #define PEER_IDLE_US (500 * USEC_PER_MSEC)
 
 /* Building a page */
--- a/decide/page.h
+++ b/decide/page.h
@@ -47,10 +47,10 @@
 enum page_verdict {
 	PAGE_NEXT,     /**< request the page after @a after, with base version @a base */
 	PAGE_COMPLETE, /**< the update is complete: call page_fetch_end() */
-	PAGE_STALE, /**< the sender has an older version than the pages so far: ask another one */
+	PAGE_STALE,    /**< the sender has an older version than received pages: ask another VM */
 };
 
-/** Begin to fetch the update of a VM at version @a base, unless one from it is in progress. */
+/** Begin to fetch an update from version @a base, unless such a fetch is in progress already. */
 void page_fetch_begin(struct page_fetch *f, uint64_t base);
 /** Add a received page. @return what to do next */
 enum page_verdict page_fetch_add(struct page_fetch *f, const struct page *p);
--- a/decide/part.h
+++ b/decide/part.h
@@ -53,8 +53,8 @@
 };
 
 /**
- * Choose the candidate to ask next, those of the own data centre first. The order also depends on
- * @a salt, so that the VMs of a data centre do not all ask the same one.
+ * Choose the candidate to ask next; candidates in the own data centre come first. The order also
+ * depends on @a salt, so that the VMs of a data centre do not all ask the same candidate.
  * @param allow_remote whether candidates in other data centres may be chosen
  * @return its index, or -1 when none is left
  */
--- a/decide/share.c
+++ b/decide/share.c
@@ -31,8 +31,11 @@
 /** Smaller changes of a holder's units are not ordered. */
 #define SHARE_STEP_UNITS (SHARE_TOTAL_UNITS / 200)
 /** Fraction of the burst that is handed out when a rate is split into own and dynamic parts. */
-#define SPLIT_BURST 0.5
-/** Fraction of the tolerance that is used: the users count requests on arrival, later than here. */
+#define SPLIT_BURST_FRACTION 0.5
+/**
+ * Fraction of the tolerance that is used: the users count requests on arrival, which is later than
+ * this VM counts them.
+ */
 #define SPLIT_SAFETY 0.93
 /** A burst of fewer tokens per holder is not split. */
 #define SPLIT_TOKENS_MIN 2
@@ -50,22 +53,22 @@
 			       const struct share_tolerance *t)
 {
 	struct share_split s = {.dynamic_rate = rate, .dynamic_burst = burst};
-	double held, m;
+	double handed_out, m;
 
 	if (t->window_s <= 0 || vms == 0 || rate <= 0)
 		return s;
-	held = burst * SPLIT_BURST;
+	handed_out = burst * SPLIT_BURST_FRACTION;
 	/* Requests tolerated in a window, less the burst handed out, as a multiple of the rate. */
-	m = (share_tolerated(rate, burst, t) - held) / (rate * t->window_s);
+	m = (share_tolerated(rate, burst, t) - handed_out) / (rate * t->window_s);
 	if (m > SHARE_RATE_MAX)
 		m = SHARE_RATE_MAX;
 	/* Own parts of less than one token would admit no request. */
-	if (m < 1 || held / 2 < vms)
+	if (m < 1 || handed_out / 2 < vms)
 		return s;
 	s.own_rate = rate * m / 2 / vms;
-	s.own_burst = held / 2 / vms;
+	s.own_burst = handed_out / 2 / vms;
 	s.dynamic_rate = rate * m / 2;
-	s.dynamic_burst = held / 2;
+	s.dynamic_burst = handed_out / 2;
 	s.own_part = 0.5 / vms;
 	return s;
 }
@@ -314,8 +317,8 @@
 	TAILQ_FOREACH(e, &a->entries, link) {
 		if (n == max)
 			break;
-		if (e->bound ||
-		    (e->census_asked_us != 0 && now_us - e->census_asked_us < SHARE_ASK_AGAIN_US))
+		if (e->bound || (e->census_asked_us != 0 &&
+				 now_us - e->census_asked_us < SHARE_ASK_INTERVAL_US))
 			continue;
 		e->census_asked_us = now_us;
 		vms[n++] = e->vm;
@@ -338,7 +341,8 @@
 	return n;
 }
 
-void share_alloc_listed(struct share_alloc *a, const char *const *vms, unsigned n, int64_t now_us)
+void share_alloc_apply_list(struct share_alloc *a, const char *const *vms, unsigned n,
+			    int64_t now_us)
 {
 	struct share_entry *e;
 	unsigned i;
@@ -356,7 +360,7 @@
 	alloc_census(a, now_us);
 }
 
-void share_alloc_left(struct share_alloc *a, const char *vm, int64_t now_us)
+void share_alloc_remove_vm(struct share_alloc *a, const char *vm, int64_t now_us)
 {
 	struct share_entry *e = alloc_find(a, vm);
 
@@ -445,9 +449,10 @@
 }
 
 /**
- * @return the units that @a e should hold. Each VM gets a floor and, above it, units by its weight.
- * The unused part of the rate is split evenly, so that a VM at which requests start to arrive has
- * tokens for them. The allocator's own VM also gets a reserve, from which it grants single tokens.
+ * @return the units that @a e should hold. Each VM gets an equal part of EVEN_FLOOR and more by its
+ * weight. The unused part of the rate is split evenly, so that a VM at which requests start to
+ * arrive has tokens for them. The allocator's own VM also gets a reserve, from which it grants
+ * single tokens.
  */
 static uint32_t alloc_target(const struct share_alloc *a, const struct share_entry *e,
 			     int64_t now_us)
@@ -499,8 +504,8 @@
 static void entry_ack(struct share_entry *e, const struct share_report *r)
 {
 	/*
-	 * A holder that was paused may hold less than was ordered; it never holds more than it
-	 * reports.
+	 * A holder that gave up its units after a pause holds less than was ordered; no holder has
+	 * more units than it reports.
 	 */
 	if (r->seq == e->seq) {
 		e->acked = r->seq;
--- a/decide/share.h
+++ b/decide/share.h
@@ -47,7 +47,7 @@
  * Interval between two requests for a report to the same holder. An answer takes 5 ms; at this
  * interval an unreachable VM costs each allocator two calls per second.
  */
-#define SHARE_ASK_AGAIN_US (500 * USEC_PER_MSEC)
+#define SHARE_ASK_INTERVAL_US (500 * USEC_PER_MSEC)
 
 /** Deviation from a rate limit of the whole fleet that the users tolerate. */
 struct share_tolerance {
@@ -65,7 +65,7 @@
 	double own_part; /**< own part of each VM, as a fraction of all that is handed out */
 };
 
-/** Most that may be handed out, as a multiple of the rate. */
+/** Maximum sum of all parts' rates, as a multiple of the team's rate. */
 #define SHARE_RATE_MAX 1.5
 
 /** @return requests that may be admitted in a window, with a margin for those that arrive late */
@@ -82,7 +82,7 @@
 struct share_report {
 	uint64_t incarnation; /**< identifies the holder's process */
 	uint64_t epoch;	      /**< epoch of the allocator that the holder is bound to */
-	uint64_t seq;	      /**< last order of that allocator that the holder carried out */
+	uint64_t seq; /**< number of the last order of this allocator that was carried out */
 	uint32_t units;
 	double demand;	/**< recent peak of arriving requests per second */
 	double average; /**< arriving requests per second, averaged over about a second */
@@ -160,7 +160,7 @@
 	GHashTable *by_vm; /**< maps a VM's name to its share_entry */
 	uint64_t epoch;
 	uint32_t salt;	 /**< makes the epochs of different allocators distinct */
-	uint32_t budget; /**< sum of units that the bound holders may have */
+	uint32_t budget; /**< maximum sum of the bound holders' units */
 	bool whole;	 /**< the census is complete: every listed VM is bound, and the budget is
 			    SHARE_TOTAL_UNITS */
 	/**
@@ -181,23 +181,24 @@
 		      double burst);
 void share_alloc_clear(struct share_alloc *a);
 /** Apply the platform's list of VMs. */
-void share_alloc_listed(struct share_alloc *a, const char *const *vms, unsigned n, int64_t now_us);
+void share_alloc_apply_list(struct share_alloc *a, const char *const *vms, unsigned n,
+			    int64_t now_us);
 /**
  * Remove @a vm, which has announced that it leaves after giving up its units: none of its units
  * have to be counted any more.
  */
-void share_alloc_left(struct share_alloc *a, const char *vm, int64_t now_us);
+void share_alloc_remove_vm(struct share_alloc *a, const char *vm, int64_t now_us);
 /**
- * List the holders with more units than their target while others lack units, as far as they were
- * not asked to report recently. They are to be asked for a report: a holder without demand reports
- * rarely, and would keep the units from others for up to SHARE_REPORT_SLOW_US.
+ * List the holders with more units than their target while others lack units, except those asked
+ * to report within SHARE_REPORT_FAST_US. They are to be asked for a report: a holder without demand
+ * reports rarely, and would keep the units from others for up to SHARE_REPORT_SLOW_US.
  * @return number of names stored in @a vms
  */
 unsigned share_alloc_over_target(struct share_alloc *a, const char **vms, unsigned max,
 				 int64_t now_us);
 /**
- * List the holders that are not bound and were not asked within SHARE_ASK_AGAIN_US. They are to be
- * asked for a report, since the allocator distributes no further units before they are bound.
+ * List the holders that are not bound and were not asked within SHARE_ASK_INTERVAL_US. They are to
+ * be asked for a report, since the allocator distributes no further units before they are bound.
  * @return number of names stored in @a vms
  */
 unsigned share_alloc_unbound_to_ask(struct share_alloc *a, const char **vms, unsigned max,
--- a/decide/succession.c
+++ b/decide/succession.c
@@ -11,9 +11,12 @@
  * asked for their last contact five times within this interval.
  */
 #define CONTACT_TIMEOUT_US (1 * USEC_PER_SEC)
-/** A VM that cannot reach a live primary within this time hands the group back. */
+/** A new owner that cannot reach a live primary within this time hands the group back. */
 #define REACH_TIMEOUT_US (600 * USEC_PER_MSEC)
-/** Time for a live primary that no VM sends to any more to be registered and reached again. */
+/**
+ * A primary to which no VM sends any more has this time after its last answer to be registered and
+ * reached again; then a successor is chosen.
+ */
 #define RETURN_TIMEOUT_US (2500 * USEC_PER_MSEC)
 /** Time that a choice waits for a member with every write known to be acknowledged. */
 #define CHOICE_TIMEOUT_US (500 * USEC_PER_MSEC)
@@ -40,17 +43,17 @@
 
 void succession_report(struct succession *s, const struct succession_report *r, int64_t now_us)
 {
-	succession_acknowledged(s, r->acknowledged, r->heard_us);
+	succession_acknowledged(s, r->acknowledged, r->latest_contact_us);
 	if (r->stopped && strcmp(s->vm, r->vm) == 0)
 		s->vm[0] = '\0';
 	/* Contact before this VM lost its own contact does not show that the primary is alive. */
-	if (r->primary[0] == '\0' || r->heard_us <= s->since_us ||
-	    now_us - r->heard_us > CONTACT_TIMEOUT_US)
+	if (r->primary[0] == '\0' || r->latest_contact_us <= s->since_us ||
+	    now_us - r->latest_contact_us > CONTACT_TIMEOUT_US)
 		return;
 	if (s->reported_us == 0)
 		s->reported_us = now_us;
-	if (r->heard_us > s->heard_us) {
-		s->heard_us = r->heard_us;
+	if (r->latest_contact_us > s->latest_contact_us) {
+		s->latest_contact_us = r->latest_contact_us;
 		snprintf(s->primary, sizeof(s->primary), "%s", r->primary);
 	}
 	if (r->stopped)
@@ -61,9 +64,9 @@
 
 bool succession_may_continue(const struct succession_sender *s, int64_t now_us)
 {
-	if (s->leaving || !s->may_send || s->heard_us == 0)
+	if (s->leaving || !s->may_send || s->latest_contact_us == 0)
 		return false;
-	return now_us - s->heard_us <
+	return now_us - s->latest_contact_us <
 	       (s->quiet_us < CONTINUE_WINDOW_US ? s->quiet_us : CONTINUE_WINDOW_US);
 }
 
@@ -71,11 +74,11 @@
 {
 	int64_t known_us = now_us - s->reported_us;
 
-	if (s->heard_us == 0 || now_us - s->heard_us > RETURN_TIMEOUT_US)
+	if (s->latest_contact_us == 0 || now_us - s->latest_contact_us > RETURN_TIMEOUT_US)
 		return SUCCESSION_CHOOSE;
 	if (known_us < REACH_TIMEOUT_US)
 		return SUCCESSION_WAIT;
-	if (s->vm[0] != '\0' && now_us - s->heard_us < CONTACT_TIMEOUT_US)
+	if (s->vm[0] != '\0' && now_us - s->latest_contact_us < CONTACT_TIMEOUT_US)
 		return SUCCESSION_HAND_BACK;
 	return SUCCESSION_WAIT;
 }
--- a/decide/succession.h
+++ b/decide/succession.h
@@ -16,20 +16,22 @@
 struct succession_report {
 	char vm[NAME_SIZE];
 	uint64_t incarnation;
-	bool stopped;		 /**< it has stopped sending */
-	char primary[NAME_SIZE]; /**< primary that it was sending to; "" if it knows none */
-	struct pos acknowledged; /**< position that includes every write it acknowledged */
-	int64_t heard_us;	 /**< when the primary last answered it; 0: never */
+	bool stopped;		   /**< it has stopped sending */
+	char primary[NAME_SIZE];   /**< primary that it was sending to; "" if it knows none */
+	struct pos acknowledged;   /**< position that includes every write it acknowledged */
+	int64_t latest_contact_us; /**< when the primary last answered this sender; 0: never */
 };
 
+/** What the owner knows of the primary during a change of primary. */
 struct succession {
-	int64_t since_us; /**< no contact with the primary since; only later contact counts */
-	struct pos acknowledged; /**< highest position known to contain acknowledged writes */
-	int64_t acknowledged_us; /**< when that position was last current; 0: none is known */
-	char primary[NAME_SIZE]; /**< primary that still answers a previous owner */
-	int64_t heard_us;	 /**< when it last answered a previous owner; 0: never */
-	int64_t reported_us;	 /**< when that was first reported to this VM */
-	char vm[NAME_SIZE];	 /**< previous owner that continues to send; "" for none */
+	int64_t since_us; /**< when this VM lost contact with the primary; only later contact of
+			     other VMs shows that the primary is alive */
+	struct pos acknowledged;   /**< highest position known to contain acknowledged writes */
+	int64_t acknowledged_us;   /**< latest time at which @a acknowledged was current, or 0 */
+	char primary[NAME_SIZE];   /**< primary that still answers a previous owner */
+	int64_t latest_contact_us; /**< when @a primary last answered a previous owner; 0: never */
+	int64_t reported_us; /**< when this VM was first informed of such an answer; 0: never */
+	char vm[NAME_SIZE];  /**< previous owner that continues to send; "" for none */
 	uint64_t incarnation;
 };
 
@@ -46,7 +48,7 @@
 	bool leaving;	  /**< its process is about to end */
 	int64_t quiet_us; /**< how long the primary has not answered the requesting VM; 0: the
 			     change is planned */
-	int64_t heard_us; /**< when the primary last answered it; 0: never */
+	int64_t latest_contact_us; /**< when the primary last answered this sender; 0: never */
 };
 
 /**
@@ -68,7 +70,7 @@
 struct succession_choice {
 	struct pos best; /**< newest log position among the candidates */
 	bool may_gain; /**< a newer log may appear: a member is unreachable, or a primary may still
-replicate */
+			  replicate */
 	int64_t waited_us; /**< time since the choice began */
 };
 
--- a/decide/token.h
+++ b/decide/token.h
@@ -18,7 +18,7 @@
 
 /**
  * Maximum number of terms that a member reports. A token of an earlier term is checked against the
- * oldest of them.
+ * oldest reported term.
  */
 #define TERM_HISTORY_MAX 8
 
--- a/src/owner-change.c
+++ b/src/owner-change.c
@@ -122,7 +122,7 @@
 	marks_new_term(&g->marks, m->observed.received, m->observed_us);
 	log_info("primary", LOG_STR("pool", g->pool), LOG_STR("member", m->conf.name),
 		 LOG_NUM("term", g->term), LOG_NUM("lsn", m->observed.received.lsn),
-		 LOG_NUM("floor", g->record.floor), LOG_STR("why", why));
+		 LOG_NUM("floor", g->record.term_floor), LOG_STR("why", why));
 	owner_group_set_state(g, OWNER_SERVING, why);
 	/*
 	 * If the record names other senders, a previous owner may still serve callers; they must
@@ -429,7 +429,7 @@
 	g->leave_pending = false;
 	g->plan_recording = true;
 	log_info("planned", LOG_STR("pool", g->pool), LOG_STR("member", g->member[best].conf.name),
-		 LOG_NUM("floor", MAX(g->record.floor, g->term)));
+		 LOG_NUM("floor", MAX(g->record.term_floor, g->term)));
 	choose_record(g, best, g->term, planned_recorded);
 }
 
--- a/src/owner-choose.c
+++ b/src/owner-choose.c
@@ -66,7 +66,7 @@
 	struct lead_record r = g->record;
 
 	r.choices++;
-	r.floor = g->undo.floor;
+	r.term_floor = g->undo.term_floor;
 	g_strlcpy(r.target, g->undo.target, sizeof(r.target));
 	return r;
 }
@@ -85,7 +85,7 @@
 	struct lead_record r = undo_record(g);
 
 	log_info("choice-taken-back", LOG_STR("pool", g->pool), LOG_STR("member", g->record.target),
-		 LOG_NUM("floor", r.floor), LOG_REVISION("revision", g->revision));
+		 LOG_NUM("floor", r.term_floor), LOG_REVISION("revision", g->revision));
 	record_write(g, &r, undo_written);
 }
 
@@ -140,11 +140,11 @@
 	g->chosen_us = now_us();
 	if (!g->undo.possible) {
 		g->undo.possible = true;
-		g->undo.floor = r.floor;
+		g->undo.term_floor = r.term_floor;
 		g_strlcpy(g->undo.target, r.target, sizeof(g->undo.target));
 	}
 	r.choices++;
-	r.floor = MAX(r.floor, highest);
+	r.term_floor = MAX(r.term_floor, highest);
 	g_strlcpy(r.target, g->member[target].conf.name, sizeof(r.target));
 	record_write(g, &r, cb);
 }
--- a/src/owner-claim.c
+++ b/src/owner-claim.c
@@ -533,7 +533,8 @@
 		struct succession_sender s = {.may_send = m != NULL && owner_group_may_send(g),
 					      .leaving = g->o->leaving,
 					      .quiet_us = (int64_t)a->quiet_us,
-					      .heard_us = m != NULL ? m->last_answer_us : 0};
+					      .latest_contact_us =
+						      m != NULL ? m->last_answer_us : 0};
 
 		fill_primary(g, &res, now);
 		res.stopped = !succession_may_continue(&s, now);
--- a/src/owner-fence.c
+++ b/src/owner-fence.c
@@ -49,16 +49,16 @@
 	g_strlcpy(r.vm, f->vm.name, sizeof(r.vm));
 	g_strlcpy(r.primary, res->primary, sizeof(r.primary));
 	if (res->primary[0] != '\0')
-		r.heard_us = f->asked_us - (int64_t)res->last_contact_age_us;
+		r.latest_contact_us = f->asked_us - (int64_t)res->last_contact_age_us;
 	first = g->succession.reported_us == 0;
 	succession_report(&g->succession, &r, now_us());
-	if (g->succession.heard_us == 0)
+	if (g->succession.latest_contact_us == 0)
 		return;
 	if (first)
 		log_info("primary-heard-by", LOG_STR("pool", g->pool), LOG_STR("peer", r.vm),
 			 LOG_STR("member", r.primary), LOG_NUM("stopped", r.stopped),
 			 LOG_NUM("term", r.acknowledged.term), LOG_NUM("lsn", r.acknowledged.lsn),
-			 LOG_NUM("age_us", now_us() - r.heard_us));
+			 LOG_NUM("age_us", now_us() - r.latest_contact_us));
 	for (i = 0; i < g->n; i++) {
 		if (strcmp(g->member[i].conf.name, g->succession.primary) == 0 &&
 		    g->member[i].observed_us <= g->state_us)
--- a/src/owner-record.c
+++ b/src/owner-record.c
@@ -46,7 +46,7 @@
 	json_builder_set_member_name(b, "address");
 	json_builder_add_string_value(b, r->address);
 	json_builder_set_member_name(b, "floor");
-	json_builder_add_int_value(b, (gint64)r->floor);
+	json_builder_add_int_value(b, (gint64)r->term_floor);
 	json_builder_set_member_name(b, "target");
 	json_builder_add_string_value(b, r->target);
 	json_builder_set_member_name(b, "choices");
@@ -90,7 +90,7 @@
 		read_vm(o, &r->owner);
 		g_strlcpy(r->address, json_object_get_string_member_with_default(o, "address", ""),
 			  sizeof(r->address));
-		r->floor = (uint64_t)json_object_get_int_member_with_default(o, "floor", 0);
+		r->term_floor = (uint64_t)json_object_get_int_member_with_default(o, "floor", 0);
 		g_strlcpy(r->target, json_object_get_string_member_with_default(o, "target", ""),
 			  sizeof(r->target));
 		r->choices = (uint64_t)json_object_get_int_member_with_default(o, "choices", 0);
@@ -155,7 +155,7 @@
 		return;
 	g->recover_at_us = now_us() + (g->state > OWNER_CLAIMING ? 0 : RECOVER_PAUSE_US);
 	log_warn("choice-recovered", LOG_STR("pool", g->pool), LOG_STR("member", g->record.target),
-		 LOG_NUM("floor", g->record.floor), LOG_REVISION("revision", revision));
+		 LOG_NUM("floor", g->record.term_floor), LOG_REVISION("revision", revision));
 }
 
 /**
--- a/src/owner-watch.c
+++ b/src/owner-watch.c
@@ -388,7 +388,7 @@
 
 	if (m == NULL || g->state != OWNER_SERVING)
 		return;
-	s = (struct lead_silence){.unheard_us = m->silent_since_us,
+	s = (struct lead_silence){.unanswered_since_us = m->silent_since_us,
 				  .refused = m->refused,
 				  .others_asked = g->others_asked &&
 						  now - g->others_asked_us < REACH_FRESH_US};
--- a/src/owner.h
+++ b/src/owner.h
@@ -234,8 +234,8 @@
 	bool ordered;		   /**< the promotion of @a target was ordered */
 	struct succession succession;
 	struct {
-		bool possible;	/**< no promotion was ordered for the recorded choice */
-		uint64_t floor; /**< a primary is accepted only with a term above this one */
+		bool possible;	     /**< no promotion was ordered for the recorded choice */
+		uint64_t term_floor; /**< a primary is accepted only with a term above this one */
 		char target[NAME_SIZE];
 	} undo;		       /**< record fields before the choice */
 	int64_t chosen_us;     /**< when @a target was chosen */
--- a/src/shares-report.c
+++ b/src/shares-report.c
@@ -185,10 +185,10 @@
 		if (vm->listed && !vm->left && (vm != f->peers.self || f->peers.revision > 0))
 			names[n++] = vm->name;
 	}
-	share_alloc_listed(alloc, names, n, now_us());
+	share_alloc_apply_list(alloc, names, n, now_us());
 	TAILQ_FOREACH(vm, &f->peers.vms, link) {
 		if (vm->left)
-			share_alloc_left(alloc, vm->name, now_us());
+			share_alloc_remove_vm(alloc, vm->name, now_us());
 	}
 	g_free(names);
 }
--- a/tests/test-change.c
+++ b/tests/test-change.c
@@ -10,9 +10,10 @@
 
 /* Decisions of decide/succession.c */
 
-static struct succession_report report(const char *primary, int64_t heard_us, bool stopped)
+static struct succession_report report(const char *primary, int64_t latest_contact_us, bool stopped)
 {
-	struct succession_report r = {.incarnation = 9, .heard_us = heard_us, .stopped = stopped};
+	struct succession_report r = {
+		.incarnation = 9, .latest_contact_us = latest_contact_us, .stopped = stopped};
 
 	g_strlcpy(r.vm, "vm-9", sizeof(r.vm));
 	g_strlcpy(r.primary, primary, sizeof(r.primary));
@@ -34,7 +35,7 @@
 	CU_ASSERT_EQUAL(succession_judge_primary(&s, t0 + 1000 * ms), SUCCESSION_CHOOSE);
 	succession_report(&s, &r, t0 + 1000 * ms);
 	CU_ASSERT_EQUAL(succession_judge_primary(&s, t0 + 1000 * ms), SUCCESSION_WAIT);
-	r.heard_us = t0 + 1590 * ms;
+	r.latest_contact_us = t0 + 1590 * ms;
 	succession_report(&s, &r, t0 + 1600 * ms);
 	CU_ASSERT_EQUAL(succession_judge_primary(&s, t0 + 1700 * ms), SUCCESSION_HAND_BACK);
 	CU_ASSERT_STRING_EQUAL(s.vm, "vm-9");
@@ -48,7 +49,7 @@
 {
 	const int64_t t0 = 100 * USEC_PER_SEC, ms = USEC_PER_MSEC;
 	struct succession_report r = report("m0", t0 - 10 * ms, true);
-	struct succession_sender sender = {.may_send = true, .heard_us = t0 - 10 * ms};
+	struct succession_sender sender = {.may_send = true, .latest_contact_us = t0 - 10 * ms};
 	struct succession s = {0};
 
 	succession_begin(&s, t0);
@@ -168,7 +169,7 @@
 	ml_yield_res res = {.primary = "m0", .acknowledged = {TERM, model.acknowledged}};
 	struct succession_sender s = {.may_send = previous_owner_sends(),
 				      .quiet_us = (int64_t)a->quiet_us,
-				      .heard_us = model.last_contact_us};
+				      .latest_contact_us = model.last_contact_us};
 
 	/* An answer without content stands for one that is lost in the partition. */
 	if (partitioned()) {
--- a/tests/test-conf.c
+++ b/tests/test-conf.c
@@ -143,10 +143,10 @@
 
 			live += e->removed ? 0 : 1;
 			if (next != NULL && strcmp(e->id, next->id) >= 0)
-				CU_FAIL("not in order");
+				CU_FAIL("entries are not sorted by id");
 		}
 		if (live != g_hash_table_size(c->entries))
-			CU_FAIL("not all entries");
+			CU_FAIL("number of entries differs from the configuration");
 	}
 	conf_free(c);
 }
--- a/tests/test-keep.c
+++ b/tests/test-keep.c
@@ -20,13 +20,13 @@
 	unsigned teams;
 	unsigned users; /**< VMs that connect to the member */
 	unsigned connections;
-	double per_s; /**< statements of one of these VMs */
+	double per_s; /**< statements per second of each of these VMs */
 };
 
 struct result {
 	unsigned statements, opened;
 	unsigned most_used;
-	double held; /**< connections, on average */
+	double held; /**< average number of open connections */
 };
 
 struct held {
--- a/tests/test-lead.c
+++ b/tests/test-lead.c
@@ -55,7 +55,7 @@
 
 /*
  * Guards against a write that is acknowledged by a replaced primary and discarded by the new one. A
- * member is accepted as primary only with a term above the floor, and only if it is the target.
+ * member is accepted as primary only if it is the target and its term is above term_floor.
  */
 static void test_a_replaced_primary_is_not_found(void)
 {
@@ -68,7 +68,7 @@
 	struct lead_record r = {0};
 
 	CU_ASSERT_EQUAL(lead_find_primary(&r, names, c, 3), 0);
-	r.floor = 1;
+	r.term_floor = 1;
 	snprintf(r.target, sizeof(r.target), "m2");
 	CU_ASSERT_EQUAL(lead_find_primary(&r, names, c, 3), -1);
 	c[1].primary = true;
@@ -101,12 +101,12 @@
 	const int64_t t0 = 1000000;
 
 	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0), LEAD_HEALTHY);
-	s.unheard_us = t0;
+	s.unanswered_since_us = t0;
 	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0 + 100 * USEC_PER_MSEC), LEAD_HEALTHY);
 	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0 + 1000 * USEC_PER_MSEC), LEAD_ASK_OTHERS);
 	s.others_asked = true;
 	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0 + 1000 * USEC_PER_MSEC), LEAD_REPLACE);
-	s = (struct lead_silence){.unheard_us = t0, .refused = true};
+	s = (struct lead_silence){.unanswered_since_us = t0, .refused = true};
 	CU_ASSERT_EQUAL(lead_judge_primary(&s, t0 + 100 * USEC_PER_MSEC), LEAD_ASK_OTHERS);
 }
 
@@ -114,12 +114,13 @@
 
 #define VMS 4
 #define MEMBERS 3
-#define LEASE 40
+/** Duration of a lease, in steps. */
+#define LEASE_STEPS 40
 /** Number of VMs that are notified of each write to the store. */
 #define WATCHERS 2
 /** Average number of steps between copies of the store, and between restores from a copy. */
-#define COPY_EVERY 25
-#define RESTORE_EVERY 150
+#define COPY_INTERVAL_STEPS 25
+#define RESTORE_INTERVAL_STEPS 150
 
 struct model_vm {
 	struct lead_vm id;
@@ -203,7 +204,7 @@
 		else if (m->known_until[i] > m->restored_at)
 			oldest = 0;
 	}
-	return era_settled(&v->era, oldest, LEASE, m->now);
+	return era_settled(&v->era, oldest, LEASE_STEPS, m->now);
 }
 
 static uint64_t next_revision(const struct model *m)
@@ -235,7 +236,8 @@
 /** Reads the record under a new lease, or in a new era. */
 static void model_read(struct model *m, struct model_vm *v)
 {
-	bool goes_on = v->lease_era != m->era && m->now < v->lease_until && v->owns && !v->yielded;
+	bool owned_before =
+		v->lease_era != m->era && m->now < v->lease_until && v->owns && !v->yielded;
 	struct lead_record known = v->record;
 
 	v->record = m->record;
@@ -244,7 +246,7 @@
 	v->revision = m->revision;
 	if (v->owns)
 		v->yielded = false;
-	if (!goes_on || !v->owns) {
+	if (!owned_before || !v->owns) {
 		v->primary = -1;
 		v->ordered = false;
 	}
@@ -277,8 +279,8 @@
 	/* The store has ended the lease: this is a new one, and the record is read again. */
 	if (m->now >= v->store_until || v->lease_era != m->era)
 		model_read(m, v);
-	v->lease_until = sent + LEASE;
-	v->store_until = m->now + LEASE;
+	v->lease_until = sent + LEASE_STEPS;
+	v->store_until = m->now + LEASE_STEPS;
 	v->lease_era = m->era;
 	if (v->key_process != v->id.incarnation)
 		v->key_era = m->era;
@@ -361,8 +363,8 @@
 	if (best < 0)
 		return;
 	r = v->record;
-	if (m->highest > r.floor)
-		r.floor = m->highest;
+	if (m->highest > r.term_floor)
+		r.term_floor = m->highest;
 	snprintf(r.target, sizeof(r.target), "%s", member_names[best]);
 	r.choices++;
 	model_write(m, &r);
@@ -416,11 +418,12 @@
 
 static void model_copies(struct model *m)
 {
-	if (rand() % COPY_EVERY == 0) {
+	if (rand() % COPY_INTERVAL_STEPS == 0) {
 		model_save(m, &m->copy);
 		m->copied_at = m->now;
 	}
-	if (rand() % RESTORE_EVERY == 0 && m->copy.revision != 0 && m->now < m->copied_at + LEASE)
+	if (rand() % RESTORE_INTERVAL_STEPS == 0 && m->copy.revision != 0 &&
+	    m->now < m->copied_at + LEASE_STEPS)
 		model_restore(m);
 }
 
@@ -455,7 +458,7 @@
 		model_promote(m, v);
 		break;
 	case 8: /* Restart: a new process with the same VM name. */
-		if (rand() % 4 == 0 && (m->era < 2 || m->now > m->restored_at + LEASE)) {
+		if (rand() % 4 == 0 && (m->era < 2 || m->now > m->restored_at + LEASE_STEPS)) {
 			v->id.incarnation = ++m->next_incarnation;
 			v->owns = v->ordered = v->yielded = false;
 			v->primary = -1;
@@ -466,7 +469,7 @@
 		break;
 	case 9: /* Suspension: time passes, and the clocks of the VMs run on. */
 		if (rand() % 10 == 0)
-			m->now += rand() % (2 * LEASE);
+			m->now += rand() % (2 * LEASE_STEPS);
 		break;
 	default:
 		break;
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -136,7 +136,7 @@
 	fake.store_refuses = false;
 	run_until_state(&w, g, OWNER_ORDERING);
 	CU_ASSERT_STRING_NOT_EQUAL(g->record.target, "m0");
-	CU_ASSERT_EQUAL(g->record.floor, 1);
+	CU_ASSERT_EQUAL(g->record.term_floor, 1);
 	world_close(&w);
 }
 
@@ -249,7 +249,7 @@
 
 	g = world_serve(&w);
 	g_strlcpy(g->record.target, "m1", sizeof(g->record.target));
-	g->record.floor = 1;
+	g->record.term_floor = 1;
 	change_begin(g, false, "test");
 	while (g->state != OWNER_ORDERING && test_now_ms() < until)
 		run_once_with_reads(&w, g);
--- a/tests/test-route.c
+++ b/tests/test-route.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define NOW 1000000
+#define NOW_US 1000000
 
 static struct route_view three(void)
 {
@@ -20,7 +20,7 @@
 {
 	struct route_view v = three();
 	struct route_request req = {.write = true};
-	struct route_outcome o = route_choose(&v, &req, NOW);
+	struct route_outcome o = route_choose(&v, &req, NOW_US);
 
 	CU_ASSERT_EQUAL(o.verdict, ROUTE_MEMBER);
 	CU_ASSERT_EQUAL(o.member, 0);
@@ -32,10 +32,10 @@
 	struct route_view v = three();
 	struct route_request req = {0};
 
-	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW).member, 0);
+	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW_US).member, 0);
 	req.max_age_us = 1000;
-	CU_ASSERT_TRUE(route_choose(&v, &req, NOW).member > 0);
-	CU_ASSERT_TRUE(route_choose(&v, &req, NOW).as_replica);
+	CU_ASSERT_TRUE(route_choose(&v, &req, NOW_US).member > 0);
+	CU_ASSERT_TRUE(route_choose(&v, &req, NOW_US).as_replica);
 }
 
 static void test_read_with_token(void)
@@ -43,16 +43,16 @@
 	struct route_view v = three();
 	struct route_request req = {.has_token = true, .token = {4, 10}};
 
-	CU_ASSERT_TRUE(route_choose(&v, &req, NOW).member > 0);
-	v.member[1].behind_until_us = NOW + 1;
-	v.member[2].behind_until_us = NOW + 1;
-	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW).member, 0);
+	CU_ASSERT_TRUE(route_choose(&v, &req, NOW_US).member > 0);
+	v.member[1].behind_until_us = NOW_US + 1;
+	v.member[2].behind_until_us = NOW_US + 1;
+	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW_US).member, 0);
 	/*
 	 * A replica known to have reached the token is used although it was behind for another
 	 * session.
 	 */
 	v.member[2].applied = (struct pos){4, 10};
-	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW).member, 2);
+	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW_US).member, 2);
 }
 
 static void test_local_replica_first(void)
@@ -61,9 +61,9 @@
 	struct route_request req = {.max_age_us = 1000, .random = 7};
 
 	v.member[2].near = true;
-	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW).member, 2);
+	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW_US).member, 2);
 	v.member[2].leaving = true;
-	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW).member, 1);
+	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW_US).member, 1);
 }
 
 static void test_unknown_primary_is_asked_for(void)
@@ -73,12 +73,12 @@
 	struct route_outcome o;
 
 	v.primary = -1;
-	o = route_choose(&v, &req, NOW);
+	o = route_choose(&v, &req, NOW_US);
 	CU_ASSERT_EQUAL(o.cause, ROUTE_CAUSE_PRIMARY_UNKNOWN);
 	CU_ASSERT_EQUAL(o.member, 1);
 	v.member[0].avoid_until_us = v.member[1].avoid_until_us = v.member[2].avoid_until_us =
-		NOW + 1;
-	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW).verdict, ROUTE_WAIT);
+		NOW_US + 1;
+	CU_ASSERT_EQUAL(route_choose(&v, &req, NOW_US).verdict, ROUTE_WAIT);
 }
 
 static void test_earlier_terms_are_ignored(void)
--- a/tests/test-share.c
+++ b/tests/test-share.c
@@ -36,7 +36,7 @@
 		share_holder_init(&h[i], i + 1, now);
 	for (i = 0; i < n_allocs; i++) {
 		share_alloc_init(&a[i], i + 1, names[i], 1000, 1000);
-		share_alloc_listed(&a[i], names, VMS, now);
+		share_alloc_apply_list(&a[i], names, VMS, now);
 	}
 }
 
@@ -57,7 +57,10 @@
 	share_alloc_clear(&a);
 }
 
-/** Send 400 requests per second, 20 per step, to one VM and later to another one. */
+/**
+ * Send 400 requests per second, 20 per step, to one VM and later to another one. Each must have
+ * more than @a least units in the end.
+ */
 static void demand_moves(double rate, uint32_t least)
 {
 	struct share_holder h[VMS];
@@ -83,7 +86,7 @@
 
 /*
  * Guards against units that stay where they are when demand moves to another VM. With demand above
- * the rate, the units follow it, except for the floor (5%) and the allocator's reserve (10%).
+ * the rate, the units follow it, except for the equal parts (5%) and the allocator's reserve (10%).
  */
 static void test_follows_demand(void)
 {
@@ -119,7 +122,7 @@
 	}
 	CU_ASSERT_EQUAL(sum(h), 0);
 	/* It leaves the platform's list: after the grace period, the others get all units. */
-	share_alloc_listed(&a, names, VMS - 1, now);
+	share_alloc_apply_list(&a, names, VMS - 1, now);
 	now += SHARE_DELIST_GRACE_US + STEP_US;
 	for (round = 0; round < 10; round++, now += STEP_US) {
 		for (i = 0; i < VMS - 1; i++)
@@ -192,7 +195,7 @@
 	for (round = 0; round < 20; round++, now += STEP_US) {
 		if (round == 10) {
 			share_holder_leave(&h[0]);
-			share_alloc_left(&a[1], names[0], now);
+			share_alloc_remove_vm(&a[1], names[0], now);
 		}
 		for (i = round < 10 ? 0 : 1; i < VMS; i++)
 			exchange(&h[i], &a[round < 10 ? 0 : 1], i, now);
@@ -436,7 +439,7 @@
 	/* The allocator leaves; the second VM takes over, and its own holder is the first to
 	 * report. */
 	share_holder_leave(&h[0]);
-	share_alloc_left(&a[1], names[0], now);
+	share_alloc_remove_vm(&a[1], names[0], now);
 	for (round = 0; round < 2; round++) {
 		for (i = 1; i < VMS; i++)
 			exchange(&h[i], &a[1], i, now);
