--- a/cmd/mangoload-plan.c
+++ b/cmd/mangoload-plan.c
@@ -66,8 +66,8 @@
 	const struct schema_field *fields;
 	unsigned n_fields;
 	size_t count, first; /**< offsets of the element count and of the first element */
-	size_t size;	     /**< of an element */
-	unsigned max;	     /**< elements */
+	size_t size;	     /**< size of an element in bytes */
+	unsigned max;	     /**< limit of the number of elements */
 } plan_lists[] = {
 	{"vm", address_field, 1, offsetof(struct load_plan, n_vms), offsetof(struct load_plan, vm),
 	 ADDRESS_SIZE, LOAD_VMS_MAX},
--- a/cmd/mangoload-report.c
+++ b/cmd/mangoload-report.c
@@ -155,12 +155,12 @@
 	return n;
 }
 
-/** Writes compared with the databases. */
+/** Counts of writes whose outcome was compared with the rows in the databases. */
 struct write_check {
 	unsigned checked;
-	unsigned lost;	  /**< acknowledged, but absent */
-	unsigned doubled; /**< present more than once */
-	unsigned untrue;  /**< reported as not executed, but present */
+	unsigned lost;		     /**< acknowledged, but not stored */
+	unsigned duplicated;	     /**< stored more than once */
+	unsigned refused_but_stored; /**< reported as not executed, but stored */
 };
 
 /** Compares the outcome of each write with the rows on the primaries. */
@@ -187,9 +187,9 @@
 		g_free(sql);
 		x->checked++;
 		x->lost += r->outcome == LOAD_ACKED && count == 0;
-		x->untrue +=
+		x->refused_but_stored +=
 			(r->outcome == LOAD_REFUSED || r->outcome == LOAD_OVER_RATE) && count > 0;
-		x->doubled += count > 1;
+		x->duplicated += count > 1;
 	}
 	for (j = 0; j < n; j++)
 		PQfinish(primary[j]);
@@ -289,9 +289,9 @@
 		      "over rate and burst by %.1f\n",
 	       reads > 0 ? (double)l->replica_reads / reads : 0, gap, l->plan.team[worst_team].name,
 	       worst_served, refused_within_rate, l->unanswered, all.stale, x.checked, x.lost,
-	       x.doubled, x.untrue, excess_max);
+	       x.duplicated, x.refused_but_stored, excess_max);
 	g_free(all.latency_ms);
 	if (csv != NULL)
 		write_csv(l, csv);
-	return all.stale == 0 && x.lost == 0 && x.doubled == 0 && x.untrue == 0;
+	return all.stale == 0 && x.lost == 0 && x.duplicated == 0 && x.refused_but_stored == 0;
 }
--- a/cmd/mangoload-run.c
+++ b/cmd/mangoload-run.c
@@ -26,21 +26,22 @@
 	TAILQ_ENTRY(session) link; /**< in team_run.idle */
 	struct load *l;
 	struct team_run *t;
-	unsigned number, vm;
+	unsigned number; /**< within the team; part of the key of the session's row */
+	unsigned vm;	 /**< index in load_plan.vm of the daemon it connects to */
 	PGconn *pg;
 	struct event *io, *timer;
 	bool connecting, busy;
 	bool setting_kind;	  /**< SET mangoloom.kind is running, ahead of the request */
-	int kind;		  /**< set on the connection; -1 for none */
+	int kind;		  /**< mangoloom.kind set on the connection; -1: not set yet */
 	char token[TEXT_SIZE];	  /**< session token */
 	unsigned written_counter; /**< last acknowledged counter */
 	struct load_request request;
-	bool failed;	       /**< the answer was an error */
-	bool reads_counter;    /**< the request is a read, and a counter was written before */
+	bool failed;	    /**< the answer was an error */
+	bool reads_counter; /**< the request is a read, and the session wrote its counter before */
 	unsigned read_counter; /**< counter that the read returned */
 	/** SQLSTATE and DETAIL of the error. */
 	char sqlstate[6], detail[64];
-	char sql[TEXT_SIZE]; /**< of the request */
+	char sql[TEXT_SIZE]; /**< statements of the request */
 };
 TAILQ_HEAD(sessions, session);
 
@@ -318,8 +319,8 @@
 		return;
 	}
 	/*
-	 * The kind is a session setting. It is sent ahead of the request, in a SET that the proxy
-	 * executes itself.
+	 * The kind of a request is a setting of the session. A SET, which the proxy executes
+	 * itself, is sent ahead of the request.
 	 */
 	s->setting_kind = true;
 	snprintf(sql, sizeof(sql), "SET mangoloom.kind = '%s'", kind->name);
--- a/cmd/mangoloom-call.c
+++ b/cmd/mangoloom-call.c
@@ -22,7 +22,7 @@
 	return code;
 }
 
-/** A call whose answer ends the event loop. */
+/** A call whose answer stops the event loop, so that the command can continue. */
 struct pending_call {
 	struct event_base *base;
 	struct platform_answer *answer;
--- a/cmd/mangoloom-cli.h
+++ b/cmd/mangoloom-cli.h
@@ -17,7 +17,10 @@
 #include "table.h"
 #include "version.h"
 
-/** Positional arguments: the command and its own, which for `explain` are the logs of many VMs. */
+/**
+ * Limit of the positional arguments: the command and its arguments. `explain` takes the most: a log
+ * file of each VM.
+ */
 #define CLI_ARGS_MAX 256
 
 /** Parsed command line. */
@@ -42,11 +45,11 @@
 
 struct cli_command {
 	const char *name;
-	const char *args; /**< their syntax, for the usage line */
+	const char *args; /**< syntax of the arguments, for the usage line */
 	const char *help;
 	int min_args;
 	int max_args;
-	bool offline;		     /**< needs no platform */
+	bool offline;		     /**< runs without the platform's service */
 	int (*run)(struct cli *cli); /**< returns an exit code */
 };
 
@@ -79,17 +82,18 @@
 /** The stored tables, as read at one revision. */
 struct store_snapshot {
 	uint64_t version;
-	uint64_t table_version[TABLES];
-	int64_t head_revision;	   /**< mod_revision of PLATFORM_HEAD, compared on commit */
-	char commit_id[NAME_SIZE]; /**< id of the commit that wrote this version */
-	GPtrArray *entries;	   /**< of conf_entry */
+	uint64_t table_version[TABLES]; /**< version in which each table last changed */
+	int64_t head_revision;		/**< mod_revision of PLATFORM_HEAD, compared on commit */
+	char commit_id[NAME_SIZE];	/**< id of the commit that wrote this version */
+	GPtrArray *entries;		/**< of conf_entry */
 };
 
-/** Reads the head and all entries. */
+/** Reads the head and all configuration entries. @return NULL with @a error set on failure */
 struct store_snapshot *store_read(struct cli *cli, GError **error);
 void store_free(struct store_snapshot *s);
 /** Returns the entry with @a id among @a entries; NULL if there is none. */
 const struct conf_entry *store_find(const GPtrArray *entries, const char *id);
+
 /** A change to commit. */
 struct store_change {
 	GPtrArray *puts;    /**< of conf_entry */
@@ -105,7 +109,8 @@
 uint64_t store_commit(struct cli *cli, const struct store_snapshot *s, const struct store_change *c,
 		      GError **error);
 /**
- * Puts or removes one entry. Retries on top of concurrent changes.
+ * Puts or removes one entry. After a conflict with a concurrent change, reads the store again and
+ * retries.
  * @return the version, or 0 with @a error
  */
 uint64_t store_put_entry(struct cli *cli, struct conf_entry *e, const char *summary,
--- a/cmd/mangoloom-evacuate.c
+++ b/cmd/mangoloom-evacuate.c
@@ -22,7 +22,7 @@
 	return false;
 }
 
-/** Begins or ends the evacuation of a data centre, and waits for all VMs to confirm it. */
+/** Begins or ends the evacuation of a data centre, and waits for all VMs to confirm the change. */
 static int set_evacuated(struct cli *cli, bool on)
 {
 	const char *name = cli->opt.args[0];
--- a/cmd/mangoloom-explain.c
+++ b/cmd/mangoloom-explain.c
@@ -105,7 +105,7 @@
 	return g_strndup(*at == '"' ? at + 1 : at, len);
 }
 
-/** Adds a line if it has the fields vm and event; cuts off any text before its timestamp. */
+/** Adds a line if it has the fields vm and event, without any text before its timestamp. */
 static void add_line(GPtrArray *lines, const char *text)
 {
 	const char *vm = strstr(text, " vm=");
@@ -200,7 +200,10 @@
 	}
 }
 
-/** Prints the last line of each state event before the request arrived. */
+/**
+ * Prints the state in which the request arrived: for each VM, pool and kind of state event, the
+ * last log line before the first line of the request.
+ */
 static void print_state_before(const struct request_trace *s, GPtrArray *lines)
 {
 	GHashTable *by_event = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
--- a/cmd/mangoloom-store.c
+++ b/cmd/mangoloom-store.c
@@ -9,9 +9,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Attempts to change one entry; after a conflict, the next one starts from a new snapshot. */
+/** Attempts to change one entry; after a conflict, the next attempt reads a new snapshot. */
 #define ENTRY_ATTEMPTS_MAX 20
-/** Attempts of one commit while answers are lost. */
+/** Attempts of one commit while the answers of the platform's service are lost. */
 #define COMMIT_ATTEMPTS_MAX 5
 #define RETRY_PAUSE_US (200 * USEC_PER_MSEC)
 /** Timeout of the call that asks a VM for its version. */
@@ -166,9 +166,9 @@
 }
 
 enum commit_status {
-	COMMIT_UNKNOWN = -2,
-	COMMIT_CONFLICT = -1, /**< another commit is in force */
-	COMMIT_PENDING = 0,   /**< not, or not yet, in force */
+	COMMIT_UNKNOWN = -2,  /**< the store could not be read */
+	COMMIT_CONFLICT = -1, /**< another commit was made first */
+	COMMIT_PENDING = 0,   /**< the head is unchanged: the write may still arrive */
 	COMMIT_DONE = 1,
 };
 
@@ -285,11 +285,11 @@
 /** Returns the configuration version in force at a VM; 0 if it does not answer. */
 static uint64_t vm_version(struct cli *cli, const struct cli_vm *vm)
 {
-	ml_heartbeat ask = {.vm = ""};
+	ml_heartbeat request = {.vm = ""};
 	ml_heartbeat res;
 	uint64_t version;
 
-	if (!cli_call(cli, vm->address, ML_HEARTBEAT, &ask, &res, VERSION_TIMEOUT_US))
+	if (!cli_call(cli, vm->address, ML_HEARTBEAT, &request, &res, VERSION_TIMEOUT_US))
 		return 0;
 	version = res.conf_version;
 	xdr_free((xdrproc_t)xdr_ml_heartbeat, &res);
--- a/cmd/mangoloom-table.c
+++ b/cmd/mangoloom-table.c
@@ -8,9 +8,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/** Attempts of an apply while other commands change entries outside its tables. */
+/** Attempts of one apply while concurrent commands change entries outside its tables. */
 #define APPLY_ATTEMPTS_MAX 8
-/** Ids in the summary of a change, at most this many put and as many removed. */
+/** Limit of the ids of changed entries, and of removed ones, in the summary of a change. */
 #define SUMMARY_ENTRIES_MAX 20
 
 /** The tables given on the command line. */
@@ -120,7 +120,8 @@
 
 /**
  * Fails if a stored table changed after the version that the edit is based on: the apply would undo
- * that change. The base is base_version of the file, or else the version at the first attempt.
+ * that change. The base is base_version of the file; if the file has none, it is the version that
+ * the store had at the first attempt (@a seen).
  */
 static gboolean check_base(const struct store_snapshot *s, const struct given_tables *t,
 			   const uint64_t seen[TABLES], GError **error)
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -269,8 +269,8 @@
 		wire[i].dead = news[i].dead;
 		wire[i].leaving = news[i].leaving;
 	}
-	h->news.news_val = wire;
-	h->news.news_len = n;
+	h->vm_updates.vm_updates_val = wire;
+	h->vm_updates.vm_updates_len = n;
 }
 
 /**
@@ -306,8 +306,8 @@
 	bool usable, changed = false;
 	u_int i;
 
-	for (i = 0; i < h->news.news_len; i++) {
-		const ml_vm_update *n = &h->news.news_val[i];
+	for (i = 0; i < h->vm_updates.vm_updates_len; i++) {
+		const ml_vm_update *n = &h->vm_updates.vm_updates_val[i];
 		struct vm_update news = {
 			.incarnation = n->incarnation, .seq = n->seq, .dead = n->dead};
 		struct vm *about = peers_find(&f->peers, n->vm);
--- a/src/home-commit-status.c
+++ b/src/home-commit-status.c
@@ -33,7 +33,7 @@
 
 static void status_query_end(struct status_query *q, enum commit_status status, struct pos pos)
 {
-	ml_commit_status_res res = {.fate = status, .pos = {pos.term, pos.lsn}};
+	ml_commit_status_res res = {.commit_status = status, .pos = {pos.term, pos.lsn}};
 
 	event_free(q->timer);
 	if (q->db != NULL)
@@ -97,7 +97,7 @@
 		return;
 	}
 	/* The backend PID is valid only on the member that ran the transaction. */
-	q->terminated = strcmp(q->args->former, q->args->member) != 0;
+	q->terminated = strcmp(q->args->previous_member, q->args->member) != 0;
 	status_query_step(q);
 }
 
@@ -117,7 +117,7 @@
 	 * become wrong.
 	 */
 	if (m == NULL || !home_accepts_writes(m) ||
-	    (strcmp(q->args->former, q->args->member) != 0 &&
+	    (strcmp(q->args->previous_member, q->args->member) != 0 &&
 	     group_settled_primary(&m->view) != m->self)) {
 		status_query_end(q, COMMIT_STATUS_UNKNOWN, (struct pos){0});
 		return;
@@ -156,7 +156,7 @@
 	struct home_job *job = a->job;
 	bool tx = job->args->control == ML_CONTROL_COMMIT;
 	const ml_commit_status_res *reply = res;
-	int commit_status = status == RPC_DONE ? reply->fate : COMMIT_STATUS_UNKNOWN;
+	int commit_status = status == RPC_DONE ? reply->commit_status : COMMIT_STATUS_UNKNOWN;
 
 	if (commit_status == COMMIT_STATUS_COMMITTED) {
 		/*
@@ -200,7 +200,7 @@
 	args.member = (char *)primary;
 	args.xid = job->xid;
 	args.backend_pid = job->backend_pid;
-	args.former = m->conf.name;
+	args.previous_member = m->conf.name;
 	rpc_start(rpc_of(k), address, ML_COMMIT_STATUS, &args, STATUS_RPC_TIMEOUT_US,
 		  status_received, a);
 }
--- a/src/kernel.c
+++ b/src/kernel.c
@@ -47,7 +47,7 @@
 	struct kernel *k = g_new0(struct kernel, 1);
 
 	if (sodium_init() < 0)
-		g_error("libsodium cannot start");
+		g_error("cannot initialise libsodium");
 	k->settings = settings;
 	k->base = event_base_new();
 	k->incarnation = random_bits();
--- a/src/key.c
+++ b/src/key.c
@@ -6,7 +6,7 @@
 
 #define KEY_PREFIX "mlk_"
 #define KEY_ID_BYTES 6
-/** Leading bytes of the hash that form the id of a key without one. */
+/** Leading bytes of the hash that serve as the id of a key whose text has none. */
 #define KEY_DERIVED_ID_BYTES 16
 #define KEY_SECRET_BYTES 24
 
--- a/src/key.h
+++ b/src/key.h
@@ -15,7 +15,10 @@
 void key_create(const char *team, struct conf_key *key, char *text);
 /** Extracts the id from a key's text. @return false if the text has no id */
 bool key_id(const char *text, char *id, size_t size);
-/** Fills in @a key for a key that was issued elsewhere and has no id: derives it from the hash. */
+/**
+ * Fills in @a key for a key that was issued elsewhere and whose text has no id. The first bytes of
+ * the hash serve as its id.
+ */
 void key_from_text(const char *text, const char *team, struct conf_key *key);
 /** Computes the BLAKE2b hash of a key's whole text. */
 void key_hash(const char *text, unsigned char hash[KEY_HASH_SIZE]);
--- a/src/log.h
+++ b/src/log.h
@@ -3,7 +3,8 @@
  * Structured logging: one line per event, as text or JSON. Messages that libraries send to GLib's
  * log are written as well. No field ever holds an API key or the text of a statement.
  *
- * An era counts how often the store came back from an older copy; revisions are logged with it.
+ * The era counts how often the platform's store was restored from an older copy. Revisions of the
+ * store are logged together with their era.
  */
 #ifndef LOG_H
 #define LOG_H
--- a/src/mango.h
+++ b/src/mango.h
@@ -48,9 +48,9 @@
 	u_quad_t vms_revision;
 	u_quad_t conf_confirmed_age_us;
 	struct {
-		u_int news_len;
-		ml_vm_update *news_val;
-	} news;
+		u_int vm_updates_len;
+		ml_vm_update *vm_updates_val;
+	} vm_updates;
 };
 typedef struct ml_heartbeat ml_heartbeat;
 
@@ -272,12 +272,12 @@
 	ml_name member;
 	ml_name xid;
 	int backend_pid;
-	ml_name former;
+	ml_name previous_member;
 };
 typedef struct ml_commit_status_args ml_commit_status_args;
 
 struct ml_commit_status_res {
-	int fate;
+	int commit_status;
 	ml_pos pos;
 };
 typedef struct ml_commit_status_res ml_commit_status_res;
--- a/src/mango.x
+++ b/src/mango.x
@@ -35,14 +35,14 @@
 	bool leaving;
 };
 
-/* Sent by each VM to other VMs at intervals, and the answer to it. */
+/* Sent by each VM to other VMs at intervals; the answer has the same type. */
 struct ml_heartbeat {
 	ml_name vm;
 	unsigned hyper incarnation;
 	unsigned hyper conf_version;
 	unsigned hyper vms_revision;
 	unsigned hyper conf_confirmed_age_us;	/* since the store confirmed that conf_version is current */
-	ml_vm_update news<ML_VM_UPDATES_MAX>;
+	ml_vm_update vm_updates<ML_VM_UPDATES_MAX>;
 };
 
 enum ml_op {
@@ -74,14 +74,14 @@
 	ml_name pool;
 	ml_name member;
 	bool write;
-	bool as_replica;
-	ml_pos token;
+	bool as_replica;		/* the member may serve the read as a replica; false: only as the primary */
+	ml_pos token;			/* log position that a read must include */
 	unsigned hyper max_age_us;
 	unsigned hyper deadline_us;
-	unsigned hyper transaction;
+	unsigned hyper transaction;	/* id of the open transaction; 0: none */
 	ml_control control;
 	ml_op op;
-	ml_text once;
+	ml_text once;			/* once-id; "": none */
 	ml_text sql;
 	bool describe_row;
 	int result_format;
@@ -89,7 +89,7 @@
 };
 
 struct ml_exec_res {
-	int outcome;
+	int outcome;		/* enum outcome */
 	ml_name sqlstate;
 	ml_text message;
 	unsigned hyper retry_after_us;
@@ -111,9 +111,9 @@
 };
 
 struct ml_member_res {
-	int state;
+	int state;		/* enum member_state */
 	bool primary;
-	unsigned hyper seen_term;
+	unsigned hyper seen_term;	/* highest term in which the member was ordered to follow or to be primary */
 	ml_pos received;
 	unsigned hyper applied_lsn;
 	ml_pos terms<ML_TERMS_MAX>;
@@ -131,15 +131,15 @@
 };
 
 struct ml_order_res {
-	bool reached;
-	bool ok;
+	bool reached;		/* whether the member answered */
+	bool ok;		/* whether the member accepted the order */
 	unsigned hyper seen_term;
 	ml_pos received;
 };
 
 struct ml_conf_args {
 	unsigned hyper conf_version;
-	ml_name after;			/* the page starts after this configuration entry; "": at the first */
+	ml_name after;			/* id of the last entry of the previous page; "": first page */
 	unsigned hyper vms_revision;
 };
 
@@ -178,9 +178,9 @@
 	unsigned hyper epoch;
 	unsigned hyper seq;
 	unsigned int units;
-	double demand;
-	double average;
-	unsigned int want;
+	double demand;			/* recent peak of arriving requests per second */
+	double average;			/* arriving requests per second, averaged over about a second */
+	unsigned int want;		/* requests that wait for a token */
 };
 
 struct ml_share_args {
@@ -195,8 +195,8 @@
 	unsigned hyper epoch;
 	unsigned hyper seq;
 	unsigned int units;
-	bool over;
-	unsigned int granted;
+	bool over;			/* the demand of the whole team exceeds its rate */
+	unsigned int granted;		/* tokens given for the waiting requests of the report */
 };
 
 struct ml_share_res {
@@ -230,11 +230,11 @@
 	ml_name member;
 	ml_name xid;
 	int backend_pid;
-	ml_name former;		/* the member that ran the transaction */
+	ml_name previous_member;	/* the member that ran the transaction */
 };
 
 struct ml_commit_status_res {
-	int fate;
+	int commit_status;	/* enum commit_status in home-commit-status.c */
 	ml_pos pos;
 };
 
@@ -244,31 +244,34 @@
 	ml_text value;
 };
 
-/* A statement sent to the owner, or to a VM that reads for it. Has no field that the receiver knows or can compute. */
+/*
+ * A statement that an entry sends to the owner, or to another VM that executes reads on a replica. Values that the receiver
+ * knows or can compute, such as the address of a member, are left out.
+ */
 struct ml_run_args {
 	ml_text request;
 	ml_name team;
 	unsigned int priority;
 	ml_name pool;
-	int op;
+	int op;			/* enum statement_op */
 	bool write;
-	ml_text text;
-	ml_text operand;
-	ml_text shape;
-	int mode;
+	ml_text text;		/* the full statement; "" for STATEMENT_EXECUTE */
+	ml_text operand;	/* argument of STATEMENT_EXECUTE, else "" */
+	ml_text shape;		/* prepared statement that STATEMENT_EXECUTE runs, else "" */
+	int mode;		/* enum read_mode */
 	unsigned int max_age_us;
-	ml_pos session;
+	ml_pos session;		/* log position of the session's last write */
 	unsigned int deadline_us;
 	unsigned int idle_tx_ms;
-	unsigned hyper transaction;
-	int begin;
-	int reader;
+	unsigned hyper transaction;	/* id of the open transaction; 0: none */
+	int begin;		/* STATEMENT_BEGIN or STATEMENT_BEGIN_READ: begins a transaction first; else 0 */
+	int reader;		/* enum owner_reader */
 	unsigned hyper owner_revision;	/* newest revision of the group's owner record that the sender knows */
 	ml_value values<ML_PARAMS_MAX>;
 };
 
 struct ml_run_res {
-	int outcome;
+	int outcome;		/* enum outcome */
 	ml_text message;
 	ml_text signature;
 	opaque rows<ML_RESULT_MAX>;
@@ -278,7 +281,7 @@
 	unsigned int retry_after_us;
 	ml_pos mark;		/* includes all writes acknowledged more than mark_age_us ago */
 	unsigned int mark_age_us;
-	ml_name owner;		/* with its address, if the sender of the statement knows an older owner only */
+	ml_name owner;		/* current owner, if owner_revision of the call is older; else "" */
 	ml_name owner_address;
 	unsigned hyper owner_revision;
 };
--- a/src/mango_xdr.c
+++ b/src/mango_xdr.c
@@ -70,7 +70,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->conf_confirmed_age_us))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->news.news_val, (u_int *) &objp->news.news_len, ML_VM_UPDATES_MAX,
+	 if (!xdr_array (xdrs, (char **)&objp->vm_updates.vm_updates_val, (u_int *) &objp->vm_updates.vm_updates_len, ML_VM_UPDATES_MAX,
 		sizeof (ml_vm_update), (xdrproc_t) xdr_ml_vm_update))
 		 return FALSE;
 	return TRUE;
@@ -563,7 +563,7 @@
 		 return FALSE;
 	 if (!xdr_int (xdrs, &objp->backend_pid))
 		 return FALSE;
-	 if (!xdr_ml_name (xdrs, &objp->former))
+	 if (!xdr_ml_name (xdrs, &objp->previous_member))
 		 return FALSE;
 	return TRUE;
 }
@@ -573,7 +573,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_int (xdrs, &objp->fate))
+	 if (!xdr_int (xdrs, &objp->commit_status))
 		 return FALSE;
 	 if (!xdr_ml_pos (xdrs, &objp->pos))
 		 return FALSE;
--- a/src/rpc-msg.c
+++ b/src/rpc-msg.c
@@ -11,8 +11,11 @@
  */
 #define RPC_FLAVOR 0x4d4c
 #define RPC_INCARNATION_BYTES 8
-/** The first call of a connection also has the name of the calling VM. */
-#define RPC_AUTH_MAX_BYTES (RPC_INCARNATION_BYTES + RPC_MAC_SIZE + NAME_SIZE)
+/**
+ * Upper bound of an authentication body: the incarnation, the keyed hash and, in the first call of
+ * a connection, the name of the calling VM.
+ */
+#define RPC_AUTH_MAX_BYTES (RPC_INCARNATION_BYTES + RPC_MAC_BYTES + NAME_SIZE)
 /** Upper bound of the size of an encoded header. */
 #define RPC_HEADER_MAX_BYTES 256
 /**
@@ -20,7 +23,10 @@
  * authentication flavor and length, accept status.
  */
 #define RPC_REPLY_MIN_BYTES (6 * BYTES_PER_XDR_UNIT)
-/** Smallest call: four more words than a reply, two of them for the empty verifier. */
+/**
+ * Smallest call, with neither a body nor an authentication body: xid, direction, RPC version,
+ * program, program version, procedure, and the flavors and lengths of credential and verifier.
+ */
 #define RPC_CALL_MIN_BYTES (10 * BYTES_PER_XDR_UNIT)
 #define RPC_LAST_FRAGMENT 0x80000000U
 #define RPC_RECORD_MARK_BYTES 4
@@ -33,7 +39,7 @@
 
 static u_int auth_size(const char *secret)
 {
-	return RPC_INCARNATION_BYTES + (secret[0] != '\0' ? RPC_MAC_SIZE : 0);
+	return RPC_INCARNATION_BYTES + (secret[0] != '\0' ? RPC_MAC_BYTES : 0);
 }
 
 static void put_auth(struct opaque_auth *auth, char *body, u_int size, uint64_t incarnation)
@@ -73,14 +79,15 @@
 
 /** Computes the keyed hash of the record after zeroing the hash's own bytes at @a mac. */
 static void record_hash(char *record, size_t len, char *mac, const char *secret,
-			unsigned char out[RPC_MAC_SIZE])
+			unsigned char out[RPC_MAC_BYTES])
 {
 	unsigned char key[crypto_generichash_KEYBYTES];
 
-	memset(mac, 0, RPC_MAC_SIZE);
+	memset(mac, 0, RPC_MAC_BYTES);
 	crypto_generichash(key, sizeof(key), (const unsigned char *)secret, strlen(secret), NULL,
 			   0);
-	crypto_generichash(out, RPC_MAC_SIZE, (const unsigned char *)record, len, key, sizeof(key));
+	crypto_generichash(out, RPC_MAC_BYTES, (const unsigned char *)record, len, key,
+			   sizeof(key));
 }
 
 /**
@@ -118,7 +125,7 @@
 	}
 	if (secret[0] != '\0') {
 		char *mac = mac_position(record + RPC_RECORD_MARK_BYTES, h->call);
-		unsigned char hash[RPC_MAC_SIZE];
+		unsigned char hash[RPC_MAC_BYTES];
 
 		record_hash(record + RPC_RECORD_MARK_BYTES, *len - RPC_RECORD_MARK_BYTES, mac,
 			    secret, hash);
@@ -132,8 +139,8 @@
 static bool check_hash(char *record, size_t len, bool call, const char *secret)
 {
 	char *mac = mac_position(record, call);
-	unsigned char claimed[RPC_MAC_SIZE];
-	unsigned char hash[RPC_MAC_SIZE];
+	unsigned char claimed[RPC_MAC_BYTES];
+	unsigned char hash[RPC_MAC_BYTES];
 
 	if (secret[0] == '\0')
 		return true;
--- a/src/rpc-msg.h
+++ b/src/rpc-msg.h
@@ -7,8 +7,8 @@
 
 #include "rpc.h"
 
-/** Size of the keyed hash in bytes. */
-#define RPC_MAC_SIZE 16
+/** Size of the keyed hash. */
+#define RPC_MAC_BYTES 16
 
 struct rpc_header {
 	bool call;
--- a/src/rpc.c
+++ b/src/rpc.c
@@ -15,7 +15,7 @@
 #define RPC_RECORD_MAX_BYTES (96U * 1024 * 1024)
 #define RPC_RECORD_MARK_BYTES 4
 #define RPC_LAST_FRAGMENT 0x80000000U
-/** Checks of each connection for silence per settings.silent_ms. */
+/** How often each connection is checked for silence within settings.silent_ms. */
 #define RPC_SILENCE_CHECKS 4
 
 #define PROC(upper, lower, args, res, control)                                                     \
@@ -160,9 +160,9 @@
 	struct rpc_call *call = arg;
 
 	/*
-	 * The record of the call waits for the connection and would be sent if it came up later.
-	 * The call is reported as not sent, so the caller may repeat it, and both would be
-	 * executed. Closing the connection drops the record.
+	 * The record of the call is buffered until the connection is established, and would be sent
+	 * even after this timeout. The call is reported as not sent, so the caller may repeat it,
+	 * and both would be executed. Closing the connection drops the record.
 	 */
 	if (call->conn != NULL && !call->conn->connected) {
 		rpc_conn_close(call->conn);
@@ -691,7 +691,10 @@
 	return rpc_listen(rs->rpc, s->kernel->settings->rpc_address, error);
 }
 
-/** Waits for buffered replies: a reply lost at exit makes its caller see the error 08007. */
+/**
+ * Waits until buffered replies are sent. A reply lost at exit leaves the outcome of its statement
+ * unknown, which the caller receives as the error 08007 (transaction resolution unknown).
+ */
 static bool rpc_service_drained(struct service *s)
 {
 	return rpc_flushed(((struct rpc_service *)s)->rpc);
--- a/src/schema.c
+++ b/src/schema.c
@@ -52,13 +52,19 @@
 	return FALSE;
 }
 
-/** @return the JSON text of a value for errors, shortened to 80 bytes; free with g_free() */
+/** Limit of the value found that an error message quotes. */
+#define ERROR_VALUE_MAX_BYTES 80
+
+/**
+ * @return the JSON text of a value, cut to ERROR_VALUE_MAX_BYTES for an error message; free with
+ * g_free()
+ */
 static char *node_text(JsonNode *node)
 {
 	char *text = json_to_string(node, FALSE);
 
-	if (strlen(text) > 80)
-		strcpy(text + 77, "...");
+	if (strlen(text) > ERROR_VALUE_MAX_BYTES)
+		strcpy(text + (ERROR_VALUE_MAX_BYTES - 3), "...");
 	return text;
 }
 
--- a/src/schema.h
+++ b/src/schema.h
@@ -19,7 +19,7 @@
 	SCHEMA_UINT,	/**< unsigned within min and max */
 	SCHEMA_DOUBLE,	/**< double within min and max */
 	SCHEMA_BOOL,
-	SCHEMA_CHOICE, /**< int: index of the value in @a choices */
+	SCHEMA_CHOICE, /**< int: index of the value in the field's choices */
 };
 
 /** Buffer size of a SCHEMA_PATH, with its terminating NUL. */
@@ -35,7 +35,7 @@
 	double min;
 	double max;
 	const char *fallback;			 /**< default value as text; NULL: 0, false or "" */
-	const char *choices[SCHEMA_CHOICES_MAX]; /**< NULL-terminated if shorter */
+	const char *choices[SCHEMA_CHOICES_MAX]; /**< ends with NULL if there are fewer */
 };
 
 /**
--- a/src/settings.h
+++ b/src/settings.h
@@ -17,7 +17,7 @@
 enum settings_platform {
 	PLATFORM_ETCD, /**< store: etcd's gRPC gateway; callers and members: PostgreSQL's protocol
 			*/
-	PLATFORM_PREPARED, /**< store, callers and members: see platform/platform-adapter.h */
+	PLATFORM_PREPARED, /**< store, callers and members: protocols of platform/ */
 };
 
 struct settings {
@@ -29,8 +29,8 @@
 	double grace_s; /**< time from the request to stop to the kill; if not 0, sets drain_ms */
 	unsigned drain_ms;	  /**< time limit of a graceful shutdown */
 	unsigned member_leave_ms; /**< how long a member that leaves may still get statements */
-	unsigned evacuate_ms;	  /**< how long a member in an evacuated data centre may still get
-				     statements */
+	unsigned evacuate_ms;	  /**< how long a member in a data centre under evacuation may still
+				     get statements */
 
 	char ready_address[ADDRESS_SIZE];   /**< HTTP readiness check; may be empty */
 	char metrics_address[ADDRESS_SIZE]; /**< HTTP metrics; may be empty */
@@ -39,7 +39,7 @@
 	char promoter_address[ADDRESS_SIZE];		     /**< service that executes promotions;
 								PLATFORM_PREPARED only */
 	char platform[SETTINGS_ADDRESSES_MAX][ADDRESS_SIZE]; /**< endpoints of the store */
-	unsigned platforms;
+	unsigned platforms;				     /**< number of endpoints */
 	unsigned platform_timeout_ms;
 
 	unsigned callers_max; /**< limit of open connections of callers */
@@ -59,20 +59,20 @@
 	char seed[SETTINGS_ADDRESSES_MAX]
 		 [ADDRESS_SIZE]; /**< RPC addresses of peers to fetch the configuration from while
 				    the platform is down */
-	unsigned seeds;
+	unsigned seeds;		 /**< number of seed addresses */
 	char rpc_secret[SCHEMA_PATH_SIZE]; /**< key of the hash on RPC messages; empty: no hash */
-	unsigned heartbeat_ms;
+	unsigned heartbeat_ms;		   /**< interval between heartbeats to other VMs */
 	unsigned silent_ms; /**< an RPC connection with unanswered calls and no input for this long
 			       is closed */
 
-	unsigned probe_ms; /**< interval between probes of a database member */
+	unsigned probe_ms; /**< interval between health checks of a member */
 	unsigned probe_timeout_ms;
 	unsigned queue_max;	     /**< limit of queued requests of one member */
 	unsigned hold_connection_ms; /**< an idle database connection is closed after this time */
 
-	double rate_window_s; /**< see struct share_tolerance */
-	double rate_overshoot;
-	double rate_slack;
+	double rate_window_s;  /**< window over which a team's rate is measured; 0: no tolerance */
+	double rate_overshoot; /**< fraction of the limit by which a window may exceed it */
+	double rate_slack; /**< number of requests by which a window may also exceed its limit */
 
 	char log_path[SCHEMA_PATH_SIZE];
 	int log_format;
--- a/src/stat.c
+++ b/src/stat.c
@@ -74,7 +74,7 @@
 
 static struct {
 	const char *name;
-	uint64_t messages[2], bytes[2]; /**< [0]: sent, [1]: received */
+	uint64_t messages[2], bytes[2]; /**< index 0: sent, 1: received */
 } procedures[STAT_PROCEDURES_MAX];
 
 void stat_message(unsigned procedure, const char *name, uint64_t bytes, bool in)
--- a/src/stat.h
+++ b/src/stat.h
@@ -29,16 +29,16 @@
 	STAT_REFUSED,
 	STAT_REFUSED_WITHIN_RATE,
 	STAT_OVER_RATE,
-	STAT_HOME_RUN,
-	STAT_HOME_QUEUED,
+	STAT_HOME_RUN,	  /**< statements that the home began to execute */
+	STAT_HOME_QUEUED, /**< statements that waited because all slots of the member were in use */
 	STAT_CONNECTIONS_OPENED,
 	STAT_CONNECTIONS_LOST,
 	STAT_FAILOVERS_BEGUN,
 	STAT_FAILOVERS_DONE,
 	STAT_COMMITS_DISCARDED, /**< upper bound of the acknowledged commits lost by promotions */
-	STAT_CONFIRMS,
-	STAT_CONFIRMS_LOST,
-	STAT_COMMIT_STATUS_QUERIES,
+	STAT_CONFIRMS,		/**< commits confirmed by enough replicas */
+	STAT_CONFIRMS_LOST,	/**< commits that could not be confirmed */
+	STAT_COMMIT_STATUS_QUERIES, /**< lookups of a commit whose answer was lost */
 	STAT_RPC_CALLS,
 	STAT_RPC_LOST,
 	STAT_RPC_BYTES_IN,
@@ -53,17 +53,16 @@
 	STATS
 };
 
-/** Times that are measured, one histogram each; those of statements are measured at the entry. */
+/** Measured times, one histogram each. The entry measures the times of statements. */
 enum stat_time_id {
 	STAT_TIME_PRIMARY, /**< statement of a route that reads all writes */
 	STAT_TIME_BOUNDED, /**< statement of a route with bounded staleness */
 	STAT_TIME_SESSION, /**< statement of a route that reads its session's writes */
-	STAT_TIME_REFUSED, /**< refused statement */
+	STAT_TIME_REFUSED, /**< refused statement of any route */
 	STAT_TIME_QUEUE,   /**< wait of a statement in the queue of the owner or reader */
 	STAT_TIME_MEMBER,  /**< from sending a statement to a member to the end of its answer */
 	STAT_TIME_STORE,   /**< call to the store, except watches */
-	STAT_TIME_PRIMARY_CHANGE, /**< from the end of service by one primary to its start by the
-				     next */
+	STAT_TIME_PRIMARY_CHANGE, /**< time without a serving primary during a change of primary */
 	STAT_TIMES
 };
 
--- a/src/table.c
+++ b/src/table.c
@@ -12,6 +12,8 @@
 		.key = (k), .type = (t), .offset = offsetof(struct st, field), __VA_ARGS__         \
 	}
 #define DAY_MS 86400000.0
+/** Limit of version numbers: a double holds every whole number up to 2^53 exactly. */
+#define VERSION_MAX 9e15
 
 static const struct schema_field route_fields[] = {
 	FIELD(conf_route, name, "name", SCHEMA_NAME, .required = true),
@@ -61,7 +63,7 @@
 	      .fallback = "0"),
 };
 
-/** The entry of a key as text: with the hash in hexadecimal. */
+/** An API key as stored in its configuration entry, with the hash in hexadecimal. */
 struct key_text {
 	char id[NAME_SIZE];
 	char team[NAME_SIZE];
@@ -83,15 +85,15 @@
 static const struct schema_field document_fields[] = {
 	FIELD(conf_document, name, "name", SCHEMA_NAME, .required = true),
 	FIELD(conf_document, version, "version", SCHEMA_DOUBLE, .required = true, .min = 0,
-	      .max = 9e15),
+	      .max = VERSION_MAX),
 };
 
-/** The kinds of entries: name in ids and files, fields, and table; TABLES: in none. */
+/** Properties of each kind of configuration entry. */
 static const struct kind {
-	const char *prefix;
+	const char *prefix; /**< of the entry's id, and name of its TOML table */
 	const struct schema_field *fields;
-	unsigned n;
-	enum table_id table;
+	unsigned n;	     /**< number of fields */
+	enum table_id table; /**< operators' table with entries of this kind; TABLES: none */
 } kinds[CONF_KINDS] = {
 	[CONF_ROUTE] = {"route", route_fields, G_N_ELEMENTS(route_fields), TABLE_ROUTES},
 	[CONF_POOL] = {"pool", pool_fields, G_N_ELEMENTS(pool_fields), TABLE_POOLS},
@@ -378,7 +380,7 @@
 	static const struct schema_field base_field = {.key = "base_version",
 						       .type = SCHEMA_DOUBLE,
 						       .min = 0,
-						       .max = 9e15,
+						       .max = VERSION_MAX,
 						       .fallback = "0"};
 	const char *known[CONF_KINDS + 1] = {NULL};
 	JsonObject *root = schema_parse(file, text, error);
--- a/src/table.h
+++ b/src/table.h
@@ -26,7 +26,10 @@
 
 /** Reads and checks the table's file at @a path; free @a t with table_clear(), also on failure. */
 gboolean table_load(const char *path, enum table_id which, struct table *t, GError **error);
-/** Like table_load(), for the text @a text; @a file is its name in errors. */
+/**
+ * Parses and checks the text of a table's file; free @a t with table_clear(), also on failure.
+ * @param file name of the file in errors
+ */
 gboolean table_parse(const char *file, const char *text, enum table_id which, struct table *t,
 		     GError **error);
 void table_clear(struct table *t);
@@ -34,9 +37,9 @@
 gboolean table_check_pool_references(const char *file, const GPtrArray *routes,
 				     const GPtrArray *pools, GError **error);
 /**
- * Writes those of @a entries (struct conf_entry) that belong to the table as TOML, and @a base as
- * its base_version, by which a later upload detects concurrent changes. @return text to free with
- * g_free()
+ * Writes the table @a which as TOML, with the entries (struct conf_entry) of @a entries that belong
+ * to it. @param base value of base_version, by which `mangoloom apply` detects concurrent changes
+ * @return text to free with g_free()
  */
 char *table_to_toml(const GPtrArray *entries, enum table_id which, uint64_t base);
 
@@ -46,9 +49,12 @@
  */
 struct conf_entry *table_entry_parse(const char *id, uint64_t version, const char *text,
 				     GError **error);
-/** Creates the entry for the struct @a body, which is that of @a kind; not for keys. */
+/**
+ * Creates an entry from the struct of its kind, such as struct conf_route for CONF_ROUTE. Use
+ * table_key_entry() for CONF_KEY.
+ */
 struct conf_entry *table_entry_make(enum conf_kind kind, const void *body);
-/** Creates the entry of an API key. */
+/** Creates the configuration entry of an API key. */
 struct conf_entry *table_key_entry(const struct conf_key *key);
 
 #endif
--- a/src/trace.c
+++ b/src/trace.c
@@ -17,7 +17,8 @@
 	return trace_file != NULL;
 }
 
-/** Begins a line: kind of event, "pool/member", size of the group. @return false if not recording
+/** Writes the start of a line: kind of event, pool/member, group size. @return false if not
+ * recording
  */
 static bool trace_line(const struct home_member *m, const char *what)
 {
--- a/tests/test-log.c
+++ b/tests/test-log.c
@@ -8,7 +8,11 @@
 #include <string.h>
 #include <unistd.h>
 
-/** Replaces standard output by a pipe and logs to it. @return the read end of the pipe */
+/**
+ * Replaces standard output by a pipe and logs to it. @param stdout_was receives a duplicate of the
+ * earlier standard output
+ * @return the read end of the pipe
+ */
 static int log_to_pipe(int *stdout_was)
 {
 	static bool opened;
@@ -58,7 +62,7 @@
  */
 static void test_a_full_pipe_blocks_nothing(void)
 {
-	int was, in = log_to_pipe(&was);
+	int stdout_was, in = log_to_pipe(&stdout_was);
 	int64_t start = test_now_ms(), took;
 	int round, i;
 	char *text;
@@ -71,7 +75,7 @@
 	}
 	took = test_now_ms() - start;
 	text = drain(in);
-	log_restore(was, in);
+	log_restore(stdout_was, in);
 	CHECK(took < 10000, "80,000 lines took %ld ms", (long)took);
 	CHECK(strstr(text, "event=log-left-out") != NULL, "the dropped lines are reported");
 	CHECK(g_str_has_suffix(text, "\n"), "lines are whole");
@@ -84,7 +88,7 @@
  */
 static void test_successes_do_not_crowd_out_the_rest(void)
 {
-	int was, in = log_to_pipe(&was);
+	int stdout_was, in = log_to_pipe(&stdout_was);
 	int i;
 	char *text;
 
@@ -92,7 +96,7 @@
 		log_routine("run", LOG_NUM("i", i));
 	log_info("belief", LOG_STR("what", "changed"));
 	text = drain(in);
-	log_restore(was, in);
+	log_restore(stdout_was, in);
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "event=belief what=changed"));
 	CHECK(strlen(text) < 300000, "%zu bytes", strlen(text));
 	g_free(text);
@@ -101,13 +105,13 @@
 /* Guards against log lines that cannot be parsed because a value has a space, quote or newline. */
 static void test_values_are_quoted(void)
 {
-	int was, in = log_to_pipe(&was);
+	int stdout_was, in = log_to_pipe(&stdout_was);
 	char *text;
 
 	log_info("quoted", LOG_STR("a", "two words"), LOG_STR("b", "x\"y"), LOG_STR("c", ""),
 		 LOG_STR("d", "line\nfeed"));
 	text = drain(in);
-	log_restore(was, in);
+	log_restore(stdout_was, in);
 	CU_ASSERT_PTR_NOT_NULL(
 		strstr(text, "a=\"two words\" b=\"x\\\"y\" c=\"\" d=\"line\\u000afeed\""));
 	g_free(text);
--- a/tests/test-rpc.c
+++ b/tests/test-rpc.c
@@ -107,7 +107,7 @@
 	pair_close(&p);
 }
 
-/** Guards against a call reported as not sent although the peer, which never replies, got it. */
+/** Guards against a call that the peer received but never answered being reported as not sent. */
 static void test_unanswered_is_lost(void)
 {
 	struct ended e = {0};
@@ -122,7 +122,8 @@
 	pair_close(&p);
 }
 
-/** Guards against a refused connection reported as a call that may have been executed. */
+/** Guards against a call being reported as possibly executed although its connection was refused.
+ */
 static void test_refused_is_not_sent(void)
 {
 	struct ended e = {0};
