--- a/src/fleet-conf.c
+++ b/src/fleet-conf.c
@@ -2,7 +2,7 @@
  * @file fleet-conf.c
  * The configuration in force on this VM. A few VMs of each data centre watch the platform's store;
  * the others learn of a new version by a heartbeat and fetch the difference from its sender. A VM
- * that starts asks both the store and a peer.
+ * that starts requests the configuration from both the store and a peer.
  */
 #include "fleet.h"
 
@@ -15,11 +15,14 @@
 /** Number of VMs per data centre that watch the store. */
 #define WATCHERS 2
 #define FETCH_TIMEOUT_US (2 * USEC_PER_SEC)
-/** Approximate size of a page sent to an admitted peer. */
+/**
+ * Approximate size of a page sent to an admitted peer: one of the few peers that may fetch pages at
+ * the same time, see page_peer_admit().
+ */
 #define PAGE_BYTES 131072
-/** Size up to which a difference is also sent to a peer that is not admitted. */
+/** A difference up to this size is also sent to a peer that is not admitted. */
 #define UNADMITTED_BYTES 4096
-/** Delay before another VM is asked after one was busy with other peers. */
+/** Delay before another VM is asked, after one refused a fetch because it serves other peers. */
 #define BUSY_RETRY_US (100 * USEC_PER_MSEC)
 
 unsigned fleet_watch_rank(struct fleet *f)
@@ -82,7 +85,7 @@
 	fleet_send_heartbeats(f);
 }
 
-/* Between peers */
+/* Exchange with peers */
 
 /** A call that fetches a newer configuration or list of VMs from a peer. */
 struct fetch_call {
@@ -137,7 +140,7 @@
 {
 	struct conf_update u = {0};
 
-	/* Another VM or the store has delivered the same or a newer version meanwhile. */
+	/* Meanwhile another VM or the store has delivered this or a newer version. */
 	if (p->u.version <= f->conf->version)
 		return false;
 	switch (page_fetch_add(&f->fetch, p)) {
@@ -208,7 +211,7 @@
 		fetch_send(f, address);
 }
 
-/** Writes a page for a peer to @a res, or sets busy if too many peers are fetching pages. */
+/** Writes a page for a peer to @a res, or sets res->busy if too many peers are fetching pages. */
 static void page_put(struct fleet *f, const ml_conf_args *a, uint64_t conn, struct page *p,
 		     ml_conf_res *res)
 {
--- a/src/fleet-etcd.c
+++ b/src/fleet-etcd.c
@@ -8,13 +8,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Interval at which the watches, and whether this VM should have them, are checked. */
+/** Interval at which the source checks its watches, and whether this VM should watch at all. */
 #define CHECK_INTERVAL_US (500 * USEC_PER_MSEC)
 /** Interval at which a watching VM compares its versions with etcd's. */
 #define WATCHER_COMPARE_INTERVAL_US (2 * USEC_PER_SEC)
 /**
- * Interval of the comparison on other VMs, in case heartbeats missed a change. It costs a few
- * hundred bytes each.
+ * Interval at which a VM without watches compares its versions with etcd's, in case heartbeats
+ * missed a change. Each comparison transfers a few hundred bytes.
  */
 #define OTHER_COMPARE_INTERVAL_US (30 * USEC_PER_SEC)
 
@@ -24,10 +24,10 @@
 	struct event *check;
 	struct platform_watch *conf_watch;
 	struct platform_watch *vms_watch;
-	bool reading;
+	bool reading;	    /**< a full read is in progress */
 	int64_t checked_us; /**< when the versions were last compared with etcd's */
-	int64_t read_us;
-	bool ever_read;
+	int64_t read_us;    /**< when the last full read was started; 0: one is due */
+	bool ever_read;	    /**< a full read has succeeded */
 };
 
 static struct etcd_source *source;
@@ -46,7 +46,10 @@
 	return version;
 }
 
-/** Parses an entry, whose value is its version, a space and its text. */
+/**
+ * Parses an entry, whose value is its version, a space and its text. A deleted entry gets @a
+ * version.
+ */
 static struct conf_entry *entry_from_kv(const struct platform_kv *kv, uint64_t version)
 {
 	const char *id = kv->key + strlen(PLATFORM_ENTRY);
@@ -208,8 +211,8 @@
 
 /**
  * Compares the versions in force with etcd's on a new connection. A watch is one long HTTP answer:
- * if a device on the path drops the connection's state, it stops without an error, and a withdrawn
- * key would keep working here.
+ * if a device on the path drops the connection's state, the watch stops without an error, and a
+ * withdrawn API key would keep working on this VM.
  */
 static void source_compare_versions(struct fleet *f, int64_t now, int64_t period_us)
 {
@@ -220,7 +223,7 @@
 	platform_revision(source->platform, PLATFORM_VMS, vms_checked, f);
 }
 
-/** Reads everything, and watches from there if this VM is a watcher. */
+/** Starts a full read if one is due; on a watcher, the watches then continue from its revision. */
 static void source_check(evutil_socket_t fd, short what, void *arg)
 {
 	struct fleet *f = arg;
--- a/src/fleet-list.c
+++ b/src/fleet-list.c
@@ -1,7 +1,7 @@
 /**
  * @file fleet-list.c
- * The platform's list of VMs, with the fixed parts of rates that they hold. It is stored per entry,
- * so that peers send each other only the changed entries.
+ * The platform's list of VMs, with the fixed parts of the teams' rates that they hold (parts.h). It
+ * is stored per entry, so that peers send each other only the changed entries.
  */
 #include "fleet.h"
 
@@ -10,19 +10,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** An entry of the list: a VM, or a fixed part of the rates that a VM holds. */
+/** An entry of the list: a VM, or a fixed part of the teams' rates and the VM that holds it. */
 struct list_item {
 	char *value;	   /**< JSON text as in the platform; NULL if the entry was removed */
 	uint64_t revision; /**< of the entry's last change */
 	bool is_part;
 	bool leaving;
-	char name[NAME_SIZE];
+	char name[NAME_SIZE]; /**< of the VM */
 	char address[ADDRESS_SIZE];
 	char data_center[NAME_SIZE];
 	uint64_t incarnation;
 	uint64_t lease;
 	uint64_t era;	/**< store era in which the VM listed itself */
-	unsigned index; /**< of the part, if @a is_part */
+	unsigned index; /**< number of the part in its data centre, if @a is_part */
 };
 
 static void item_free(gpointer data)
@@ -95,7 +95,7 @@
 	g_hash_table_replace(f->list, g_strdup(key), item);
 }
 
-void fleet_list_remove_unlisted(struct fleet *f, GHashTable *named, uint64_t revision)
+void fleet_list_remove_unlisted(struct fleet *f, GHashTable *listed_keys, uint64_t revision)
 {
 	GHashTableIter iter;
 	gpointer key, value;
@@ -105,7 +105,7 @@
 		struct list_item *item = value;
 
 		if (item->value == NULL || item->revision > revision ||
-		    g_hash_table_contains(named, key))
+		    g_hash_table_contains(listed_keys, key))
 			continue;
 		g_clear_pointer(&item->value, g_free);
 		item->revision = revision;
@@ -113,7 +113,7 @@
 	f->list_base = revision;
 }
 
-/* In force */
+/* Publication */
 
 static void listing_add(const struct list_item *item, GArray *listings, GArray *parts)
 {
@@ -182,7 +182,7 @@
 
 void fleet_apply_vms(struct fleet *f, uint64_t revision, const char *text)
 {
-	GHashTable *named = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	GHashTable *listed_keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	JsonParser *parser = json_parser_new();
 	JsonArray *list;
 	guint i;
@@ -202,17 +202,17 @@
 		key = key_of(json_node_get_object(node));
 		value = json_to_string(node, FALSE);
 		fleet_list_put(f, key, value, revision);
-		g_hash_table_add(named, key);
+		g_hash_table_add(listed_keys, key);
 		g_free(value);
 	}
-	fleet_list_remove_unlisted(f, named, revision);
+	fleet_list_remove_unlisted(f, listed_keys, revision);
 	fleet_list_publish(f, revision);
 out:
-	g_hash_table_destroy(named);
+	g_hash_table_destroy(listed_keys);
 	g_object_unref(parser);
 }
 
-/* Between peers */
+/* Exchange with peers */
 
 void fleet_list_write_changes(const struct fleet *f, uint64_t known, ml_conf_res *res)
 {
@@ -222,7 +222,7 @@
 	res->vms_revision = f->peers.revision;
 	if (f->peers.revision <= known)
 		return;
-	/* Removals before list_base are unknown here, so an older peer gets the full list. */
+	/* This VM does not know removals before list_base, so an older peer gets the full list. */
 	res->vms_base = known >= f->list_base ? known : 0;
 	res->vms.vms_val = g_new0(ml_vm_item, g_hash_table_size(f->list) + 1);
 	g_hash_table_iter_init(&iter, f->list);
@@ -241,21 +241,21 @@
 
 void fleet_list_apply_changes(struct fleet *f, const ml_conf_res *res)
 {
-	GHashTable *named;
+	GHashTable *listed_keys;
 	u_int i;
 
 	/* Changes since vms_base also apply to a list that was updated meanwhile. */
 	if (res->vms_revision <= f->peers.revision || res->vms_base > f->peers.revision)
 		return;
-	named = g_hash_table_new(g_str_hash, g_str_equal);
+	listed_keys = g_hash_table_new(g_str_hash, g_str_equal);
 	for (i = 0; i < res->vms.vms_len; i++) {
 		const ml_vm_item *item = &res->vms.vms_val[i];
 
 		fleet_list_put(f, item->key, item->removed ? NULL : item->value, item->revision);
-		g_hash_table_add(named, item->key);
+		g_hash_table_add(listed_keys, item->key);
 	}
 	if (res->vms_base == 0)
-		fleet_list_remove_unlisted(f, named, res->vms_revision);
-	g_hash_table_destroy(named);
+		fleet_list_remove_unlisted(f, listed_keys, res->vms_revision);
+	g_hash_table_destroy(listed_keys);
 	fleet_list_publish(f, res->vms_revision);
 }
--- a/src/fleet-store-items.c
+++ b/src/fleet-store-items.c
@@ -1,8 +1,8 @@
 /**
  * @file fleet-store-items.c
- * Builds the configuration and the list of VMs from the store's items: routes, pools, teams and
- * keys from the operators' document and the backend servers' records, the list of VMs from the VMs'
- * keys.
+ * Builds the configuration and the list of VMs from the store's items: routes, pools, teams and API
+ * keys come from the operators' document and the backend servers' records, the list of VMs from the
+ * keys that the VMs write.
  */
 #include "fleet-store-source.h"
 
@@ -18,7 +18,10 @@
  * servers at once would replace healthy primaries.
  */
 #define LAPSED_KEEP_US (2300 * USEC_PER_MSEC)
-/** Versions per store revision, for changes that only time causes, e.g. a dropped server. */
+/**
+ * Configuration versions per store revision. A change without a write to the store, such as
+ * dropping a server after LAPSED_KEEP_US, gets a further version of the same revision.
+ */
 #define VERSIONS_PER_REVISION 8
 
 void records_document_clear(struct records_document *d)
@@ -114,19 +117,19 @@
 	g_ptr_array_add(entries, table_entry_make(CONF_DOCUMENT, &d));
 }
 
-/** Adds the entries that differ from those in force to @a u, with the new version. */
-static void add_differences(const struct conf *conf, GPtrArray *now, struct conf_update *u)
+/** Adds the entries of @a current that differ from @a conf, the configuration in force, to @a u. */
+static void add_differences(const struct conf *conf, GPtrArray *current, struct conf_update *u)
 {
-	GHashTable *named = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *current_ids = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTableIter iter;
 	gpointer key;
 	guint i;
 
-	for (i = 0; i < now->len; i++) {
-		struct conf_entry *e = g_ptr_array_index(now, i);
+	for (i = 0; i < current->len; i++) {
+		struct conf_entry *e = g_ptr_array_index(current, i);
 		const struct conf_entry *old = g_hash_table_lookup(conf->entries, e->id);
 
-		g_hash_table_add(named, e->id);
+		g_hash_table_add(current_ids, e->id);
 		if (old != NULL && strcmp(old->text, e->text) == 0)
 			continue;
 		e->version = u->version;
@@ -134,18 +137,18 @@
 	}
 	g_hash_table_iter_init(&iter, conf->entries);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
-		struct conf_entry *gone;
+		struct conf_entry *removal;
 
-		if (g_hash_table_contains(named, key))
+		if (g_hash_table_contains(current_ids, key))
 			continue;
-		gone = table_entry_parse(key, u->version, NULL, NULL);
-		gone->removed = true;
-		g_ptr_array_add(u->entries, gone);
+		removal = table_entry_parse(key, u->version, NULL, NULL);
+		removal->removed = true;
+		g_ptr_array_add(u->entries, removal);
 	}
-	g_hash_table_destroy(named);
+	g_hash_table_destroy(current_ids);
 }
 
-/** The lowest version of a store revision, in the same era. */
+/** Returns the lowest configuration version of a store revision, in the same era. */
 static uint64_t first_version_of(uint64_t revision)
 {
 	return era_revision(era_of(revision), era_number(revision) * VERSIONS_PER_REVISION);
@@ -153,8 +156,9 @@
 
 /**
  * Returns the version of the configuration to publish, above the one in force if that has the same
- * revision. Only keys of operators and backend servers count: the daemons' keys change whenever a
- * VM joins or leaves, and every VM would fetch the same configuration under a newer version.
+ * store revision. Only store keys of operators and backend servers count: the daemons' keys change
+ * whenever a VM joins or leaves, and every VM would fetch the same configuration under a newer
+ * version.
  */
 static uint64_t next_version(const struct conf *conf)
 {
@@ -184,7 +188,7 @@
 /**
  * Sets the versions of the entries in a process's first configuration. A peer with the same
  * document can only lack later changes of servers, so it is sent the pools but not all routes,
- * teams and keys again.
+ * teams and API keys again.
  */
 static void set_first_versions(struct conf_update *u)
 {
@@ -215,28 +219,28 @@
 {
 	struct fleet *f = store_source.f;
 	struct conf_update u = {.base = f->conf->version, .version = next_version(f->conf)};
-	GPtrArray *now;
+	GPtrArray *current;
 	guint i;
 
 	store_source.conf_changed = false;
-	/* A newer state came from a peer already; the next answer of the store will include it. */
+	/* A peer already sent a newer configuration; the store's next answer will include it. */
 	if (u.version <= f->conf->version || store_source.document.entries == NULL)
 		return;
 	u.entries = g_ptr_array_new_with_free_func(conf_entry_destroy);
-	now = g_ptr_array_new_with_free_func(conf_entry_destroy);
+	current = g_ptr_array_new_with_free_func(conf_entry_destroy);
 	for (i = 0; i < store_source.document.entries->len; i++)
-		g_ptr_array_add(now, conf_entry_add_ref(
-					     g_ptr_array_index(store_source.document.entries, i)));
-	add_pools(now);
-	add_evacuations(now);
-	add_document(now);
+		g_ptr_array_add(current, conf_entry_add_ref(g_ptr_array_index(
+						 store_source.document.entries, i)));
+	add_pools(current);
+	add_evacuations(current);
+	add_document(current);
 	u.full = f->conf->version == 0;
-	add_differences(f->conf, now, &u);
+	add_differences(f->conf, current, &u);
 	if (u.full)
 		set_first_versions(&u);
 	if (u.entries->len > 0)
 		fleet_apply_conf(f, &u, "store");
-	g_ptr_array_unref(now);
+	g_ptr_array_unref(current);
 	conf_update_clear(&u);
 }
 
@@ -298,8 +302,8 @@
 
 /**
  * Whether @a r is an outdated record of the same server process. After a restore from an older copy
- * the store returns it until the server writes again; a server that is draining would be used
- * again.
+ * the store returns such a record until the server writes again; if it were applied, statements
+ * would be sent again to a server that is draining.
  */
 static bool is_outdated_record(const struct records_server *known, const struct records_server *r)
 {
--- a/src/fleet-store-lease.c
+++ b/src/fleet-store-lease.c
@@ -7,7 +7,7 @@
 
 /** Renewal interval; at least 9.5 s of the lease are left when an outage of the store begins. */
 #define LEASE_RENEW_INTERVAL_US (2500 * USEC_PER_MSEC)
-/** Delay after a failed call: a fraction of the remaining lease time, at least the minimum. */
+/** Delay after a failed lease call: a fraction of the lease time left, at least the minimum. */
 #define LEASE_RETRY_MIN_US (500 * USEC_PER_MSEC)
 #define LEASE_RETRY_DIVISOR 4
 /** Target rate at which all VMs together write their keys after a change of the era. */
@@ -49,7 +49,7 @@
 	return store_source.lapses;
 }
 
-void fleet_store_on_era(fleet_store_caught_up_cb cb, void *owner)
+void fleet_store_set_caught_up_cb(fleet_store_caught_up_cb cb, void *owner)
 {
 	store_source.caught_up = cb;
 	store_source.caught_up_owner = owner;
@@ -66,9 +66,9 @@
 }
 
 /**
- * Saves the registration and the end of the lease of the previous era. State read under it may be
- * acted on until that lease ends, since other VMs wait until this VM publishes the new era or the
- * lease has expired.
+ * Saves the registration and the end of the lease of the previous era. State read under that
+ * registration may be acted on until that lease ends, since other VMs wait until this VM publishes
+ * the new era or the lease has expired.
  */
 static void save_previous_registration(void)
 {
@@ -89,7 +89,7 @@
 
 static void on_registered(const struct store_answer *a, void *arg)
 {
-	store_source.lease_asked = false;
+	store_source.lease_call_pending = false;
 	if (a->status == STORE_NO_LEASE) {
 		lease_lost("not-known");
 		return;
@@ -140,7 +140,7 @@
 	struct store_write w = {.key = key, .value = value, .lease = store_source.lease};
 
 	store_source.publishing_era = era;
-	store_source.lease_asked = true;
+	store_source.lease_call_pending = true;
 	store_source.store->ops->commit(store_source.store, NULL, 0, &w, 1, on_registered, NULL);
 	g_free(value);
 	g_free(key);
@@ -156,7 +156,7 @@
 
 static void on_lease_answer(const struct store_answer *a, void *arg)
 {
-	store_source.lease_asked = false;
+	store_source.lease_call_pending = false;
 	if (a->status == STORE_NO_LEASE) {
 		lease_lost("ended");
 		return;
@@ -189,7 +189,7 @@
 
 void source_rewrite_key(int64_t now, void (*then)(void))
 {
-	if (!store_source.registered || store_source.lease_asked ||
+	if (!store_source.registered || store_source.lease_call_pending ||
 	    now < store_source.rewrite_next_us)
 		return;
 	store_source.rewrite_next_us = now + LEASE_RETRY_MIN_US;
@@ -199,12 +199,12 @@
 
 void source_lease_tick(int64_t now)
 {
-	bool behind =
+	bool key_is_outdated =
 		store_source.registered && store_source.published_era < store_source.lease_era;
 
-	if (store_source.lease_asked || store_source.releasing)
+	if (store_source.lease_call_pending || store_source.releasing)
 		return;
-	if (behind && era_to_publish() == store_source.lease_era) {
+	if (key_is_outdated && era_to_publish() == store_source.lease_era) {
 		source_rewrite_key(now, NULL);
 		return;
 	}
@@ -214,7 +214,7 @@
 		register_vm();
 		return;
 	}
-	store_source.lease_asked = true;
+	store_source.lease_call_pending = true;
 	store_source.lease_sent_us = now;
 	if (store_source.lease == 0)
 		store_source.store->ops->lease_grant(store_source.store, LEASE_TTL_US,
--- a/src/fleet-store-source.h
+++ b/src/fleet-store-source.h
@@ -14,8 +14,8 @@
 /** A backend server as last read from the store. */
 struct server {
 	struct records_server record;
-	bool lapsed; /**< its record was removed from the store */
-	int64_t lapsed_us;
+	bool lapsed;	   /**< its record was removed from the store */
+	int64_t lapsed_us; /**< when the removal was received */
 	uint64_t revision;
 };
 
@@ -40,16 +40,16 @@
 	uint64_t lapses; /**< number of times that this VM's lease expired before it was renewed */
 	fleet_store_caught_up_cb caught_up; /**< may be NULL */
 	void *caught_up_owner;
-	bool lease_asked; /**< a grant, a renewal or a write of the key is in progress */
+	bool lease_call_pending; /**< a grant, a renewal or a write of the key is in progress */
 	bool registered;
-	bool releasing;
-	bool released;
-	int64_t lease_sent_us;
-	int64_t lease_until_us;
-	int64_t lease_next_us;
+	bool releasing;		/**< the lease is being ended, since this VM leaves */
+	bool released;		/**< the call that ends the lease was answered */
+	int64_t lease_sent_us;	/**< when the last grant or renewal was sent */
+	int64_t lease_until_us; /**< when the lease expires, counted from lease_sent_us */
+	int64_t lease_next_us;	/**< earliest time of the next lease call */
 
 	unsigned n_lists;	 /**< complete lists read */
-	bool initial_list_done;	 /**< a list was read that has what the process needs to start */
+	bool initial_list_done;	 /**< a list recent enough for the start of the process was read */
 	bool list_is_complete;	 /**< the current list is complete; a watch continues from it */
 	char *last_listed_key;	 /**< last key of the previous page; NULL before the first */
 	GHashTable *listed_keys; /**< set of the keys in the current list */
@@ -57,7 +57,7 @@
 	struct store_call *watch;
 	uint64_t synced_revision; /**< all changes up to this revision are applied */
 	bool reachable;
-	int64_t checked_us;
+	int64_t checked_us;	/**< when the last watch or periodic list was started */
 	int64_t watch_delay_us; /**< last delay between two watches, see watch_next_delay_us() */
 
 	GPtrArray *pending;    /**< items of an incomplete list; listeners are notified later */
@@ -91,9 +91,9 @@
 bool source_is_evacuation(const char *key);
 /** Applies an item received from the store, unless it is outdated. */
 void source_apply_item(const struct store_item *item);
-/** Puts the received configuration and list of VMs in force, if the list is complete. */
+/** Puts the received configuration and list of VMs in force, unless a list is still being read. */
 void source_publish(void);
-/** Notifies the listeners of a list's items, once the groups that these refer to are configured. */
+/** Notifies the listeners of the pending items; call it after the groups are configured. */
 void source_notify_pending(void);
 /** Drops backend servers whose records were removed at least LAPSED_KEEP_US ago. */
 void source_drop_lapsed(int64_t now);
@@ -106,8 +106,9 @@
 /** Returns the delay after a failed lease call when @a left_us of the lease are left. */
 int64_t source_lease_retry_us(int64_t left_us);
 /**
- * Writes this VM's key again, unless a call is in progress, and calls @a then afterwards. The write
- * raises the store's revision, so that peers take a list read in @a then for a newer one.
+ * Writes this VM's key again and then calls @a then. Does nothing if the VM is not registered, a
+ * lease call is in progress or the last write is too recent. The write raises the store's revision,
+ * so a list of VMs that @a then reads has a higher revision than the list that the peers have.
  */
 void source_rewrite_key(int64_t now, void (*then)(void));
 /** Requests or renews the lease, or writes the key, when it is due. */
--- a/src/fleet-store.c
+++ b/src/fleet-store.c
@@ -2,8 +2,8 @@
  * @file fleet-store.c
  * Reads and watches the configuration and the list of VMs in a store with leases. Each VM registers
  * itself under a lease. The operators' document and the backend servers' records are combined into
- * routes, pools, teams and keys. Versions are derived from the store's revisions, so that all VMs
- * give the same state the same version.
+ * routes, pools, teams and API keys. Versions are derived from the store's revisions, so that all
+ * VMs give the same state the same version.
  */
 #include "fleet-store-source.h"
 
@@ -19,15 +19,15 @@
 #define RETRY_MAX_US (300 * USEC_PER_MSEC)
 /**
  * Delay before the next watch after one that returned only the daemons' own keys, so that one call
- * returns several of their changes. It starts at the first value and doubles up to the maximum
- * while such changes continue. It also delays a change of the configuration by at most that
+ * returns several changes. The delay starts at OWN_CHANGE_DELAY_US and doubles up to the maximum
+ * while the daemons' keys keep changing. A change of the configuration waits no longer than the
  * maximum.
  */
 #define OWN_CHANGE_DELAY_US (150 * USEC_PER_MSEC)
 #define OWN_CHANGE_DELAY_MAX_US (600 * USEC_PER_MSEC)
-/** After a watch that took longer than this, the delay starts at its first value again. */
+/** After a watch that took longer than this, the delay starts at OWN_CHANGE_DELAY_US again. */
 #define OWN_CHANGE_RESET_US (1 * USEC_PER_SEC)
-/** Interval at which a VM that is not a watcher lists the store, besides heartbeats. */
+/** List interval of a VM that is not a watcher, in addition to what heartbeats announce. */
 #define RELIST_INTERVAL_US (60 * USEC_PER_SEC)
 #define TICK_US (100 * USEC_PER_MSEC)
 /** Delay before the initial list is read again because it was too old to start from. */
@@ -150,7 +150,7 @@
 	store_source.keeps_lost_keys = false;
 
 	for (l = keys; l != NULL; l = l->next) {
-		struct store_item gone = {.revision = revision};
+		struct store_item removal = {.revision = revision};
 
 		if (g_hash_table_contains(store_source.listed_keys, l->data))
 			continue;
@@ -159,10 +159,10 @@
 			g_hash_table_add(store_source.listed_keys, g_strdup(l->data));
 			continue;
 		}
-		gone.key = g_strdup(l->data);
-		source_apply_item(&gone);
-		g_hash_table_remove(store_source.known, gone.key);
-		g_free(gone.key);
+		removal.key = g_strdup(l->data);
+		source_apply_item(&removal);
+		g_hash_table_remove(store_source.known, removal.key);
+		g_free(removal.key);
 	}
 	g_list_free(keys);
 }
@@ -248,17 +248,17 @@
 
 static void list_next(void)
 {
-	bool again = !store_source.initial_list_done && store_source.n_lists > 0;
+	bool retry = !store_source.initial_list_done && store_source.n_lists > 0;
 
 	/*
 	 * Lists all keys, which takes one call instead of one for each of three prefixes. The first
-	 * list may not be stale: VMs that start with an old configuration fetch the full new one
-	 * from peers that started with it and so cannot compute the difference.
+	 * list may not be stale: a VM that starts with an old configuration must fetch the full new
+	 * one, since peers whose first configuration is the new one cannot compute the difference.
 	 */
 	store_source.store->ops->list(
 		store_source.store, "",
 		store_source.last_listed_key != NULL ? store_source.last_listed_key : "",
-		again && store_source.n_lists < INITIAL_LIST_RETRIES, on_list_page, NULL);
+		retry && store_source.n_lists < INITIAL_LIST_RETRIES, on_list_page, NULL);
 }
 
 static void list_reset(void)
@@ -319,7 +319,7 @@
 		/*
 		 * A failed watch may have missed changes. A new watch from the same revision may
 		 * report only at the end of its wait that the history was compacted, and a
-		 * withdrawn key would work for seconds more. A list needs no history.
+		 * withdrawn API key would work for seconds more. A list needs no history.
 		 */
 		list_reset();
 		retry_later();
@@ -395,7 +395,7 @@
 	store_source.store = k->adapter->store->create(k, k->settings->platform[0],
 						       (int64_t)k->settings->platform_timeout_ms *
 							       USEC_PER_MSEC);
-	store_source.store->era = on_store_era;
+	store_source.store->on_era = on_store_era;
 	store_source.known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	store_source.servers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	store_source.evacuated = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
--- a/src/fleet-store.h
+++ b/src/fleet-store.h
@@ -39,8 +39,9 @@
 /** Number of the current registration, which rises with each new era too; 0 if not registered. */
 uint64_t fleet_store_registration(struct fleet *f);
 /**
- * Time until which state read under @a registration may be acted on; 0: not any more. State of the
- * previous era that was not read again may be acted on until the lease of that era ends.
+ * Returns the time until which state read under @a registration may be acted on, or 0 if it may
+ * not. State of the previous era that was not read again may be acted on until that era's lease
+ * ends.
  */
 int64_t fleet_store_trusted_until_us(struct fleet *f, uint64_t registration);
 /** Whether this VM's lease was granted or renewed in the current era. */
@@ -48,7 +49,7 @@
 /** Number of times that this VM's lease expired before it was renewed. */
 uint64_t fleet_store_lapses(void);
 /** Sets the callback that must return true before this VM publishes a new era in its key. */
-void fleet_store_on_era(fleet_store_caught_up_cb cb, void *owner);
+void fleet_store_set_caught_up_cb(fleet_store_caught_up_cb cb, void *owner);
 /** Store era in which this VM's lease was last granted or renewed. */
 uint64_t fleet_store_lease_era(void);
 /** Whether no VM can still trust a lease of a previous era. */
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -66,7 +66,7 @@
 	qsort(f->data_center, f->n_data_centers, NAME_SIZE, by_name);
 }
 
-/** Cached holder of a role, and the data centre that is preferred for it; "" for none. */
+/** Cached holder of a role, and the data centre whose VMs are preferred as holder; "" for none. */
 struct role_holder {
 	struct vm *vm;
 	char data_center[NAME_SIZE];
@@ -93,7 +93,7 @@
 			   rank_weight(role, h->vm->name), is_preferred(h->vm, h));
 }
 
-/** Drops cached role holders that changes of the list or of VMs' usability may have changed. */
+/** Drops cached role holders that may be outdated: the list of VMs or a VM's usability changed. */
 static void holders_update(struct fleet *f)
 {
 	bool new_list = f->ranked_revision != f->peers.revision;
@@ -250,10 +250,10 @@
 	char address[ADDRESS_SIZE];
 };
 
-static void heartbeat_make(struct fleet *f, ml_heartbeat *h, struct vm_update *news,
+static void heartbeat_make(struct fleet *f, ml_heartbeat *h, struct vm_update *updates,
 			   ml_vm_update *wire)
 {
-	unsigned n = peers_collect_updates(&f->peers, news);
+	unsigned n = peers_collect_updates(&f->peers, updates);
 	unsigned i;
 
 	memset(h, 0, sizeof(*h));
@@ -263,20 +263,20 @@
 	h->vms_revision = f->peers.revision;
 	h->conf_confirmed_age_us = (u_quad_t)fleet_conf_age_us(f);
 	for (i = 0; i < n; i++) {
-		wire[i].vm = news[i].vm;
-		wire[i].incarnation = news[i].incarnation;
-		wire[i].seq = news[i].seq;
-		wire[i].dead = news[i].dead;
-		wire[i].leaving = news[i].leaving;
+		wire[i].vm = updates[i].vm;
+		wire[i].incarnation = updates[i].incarnation;
+		wire[i].seq = updates[i].seq;
+		wire[i].dead = updates[i].dead;
+		wire[i].leaving = updates[i].leaving;
 	}
 	h->vm_updates.vm_updates_val = wire;
 	h->vm_updates.vm_updates_len = n;
 }
 
 /**
- * Records that a peer with the same version confirmed it as current @a age_us ago. The age is
- * passed on with heartbeats instead of starting at 0 on each VM; otherwise two VMs in the same
- * network partition would confirm an outdated version to each other forever.
+ * Records that a peer with the same configuration version confirmed it as current @a age_us ago.
+ * The age is passed on with heartbeats instead of starting at 0 on each VM; otherwise two VMs in
+ * the same network partition would confirm an outdated version to each other forever.
  */
 static void confirm_conf(struct fleet *f, int64_t age_us)
 {
@@ -308,15 +308,15 @@
 
 	for (i = 0; i < h->vm_updates.vm_updates_len; i++) {
 		const ml_vm_update *n = &h->vm_updates.vm_updates_val[i];
-		struct vm_update news = {
+		struct vm_update update = {
 			.incarnation = n->incarnation, .seq = n->seq, .dead = n->dead};
-		struct vm *about = peers_find(&f->peers, n->vm);
-		bool before = about != NULL && peers_usable(about);
+		struct vm *subject = peers_find(&f->peers, n->vm);
+		bool before = subject != NULL && peers_usable(subject);
 
-		news.leaving = n->leaving;
-		g_strlcpy(news.vm, n->vm, sizeof(news.vm));
-		peers_apply_update(&f->peers, &news);
-		changed = changed || (about != NULL && peers_usable(about) != before);
+		update.leaving = n->leaving;
+		g_strlcpy(update.vm, n->vm, sizeof(update.vm));
+		peers_apply_update(&f->peers, &update);
+		changed = changed || (subject != NULL && peers_usable(subject) != before);
 	}
 	if (vm != NULL && vm != f->peers.self) {
 		usable = peers_usable(vm);
@@ -333,9 +333,9 @@
 
 static void heartbeat_done(enum rpc_status status, const void *res, void *arg)
 {
-	struct heartbeat_call *b = arg;
-	struct fleet *f = b->f;
-	struct vm *vm = peers_find(&f->peers, b->vm);
+	struct heartbeat_call *call = arg;
+	struct fleet *f = call->f;
+	struct vm *vm = peers_find(&f->peers, call->vm);
 
 	if (status == RPC_DONE) {
 		heartbeat_process(f, res);
@@ -347,23 +347,23 @@
 		if (usable != peers_usable(vm))
 			fleet_members_changed(f);
 	}
-	g_free(b);
+	g_free(call);
 }
 
 static void heartbeat_send(struct fleet *f, struct vm *vm)
 {
-	struct vm_update news[PEERS_UPDATES_MAX];
+	struct vm_update updates[PEERS_UPDATES_MAX];
 	ml_vm_update wire[PEERS_UPDATES_MAX];
 	int64_t timeout = (int64_t)f->service.kernel->settings->heartbeat_ms * USEC_PER_MSEC;
-	struct heartbeat_call *b = g_new0(struct heartbeat_call, 1);
+	struct heartbeat_call *call = g_new0(struct heartbeat_call, 1);
 	ml_heartbeat h;
 
-	b->f = f;
-	g_strlcpy(b->vm, vm->name, sizeof(b->vm));
-	g_strlcpy(b->address, vm->address, sizeof(b->address));
-	heartbeat_make(f, &h, news, wire);
-	rpc_start(rpc_of(f->service.kernel), b->address, ML_HEARTBEAT, &h, timeout, heartbeat_done,
-		  b);
+	call->f = f;
+	g_strlcpy(call->vm, vm->name, sizeof(call->vm));
+	g_strlcpy(call->address, vm->address, sizeof(call->address));
+	heartbeat_make(f, &h, updates, wire);
+	rpc_start(rpc_of(f->service.kernel), call->address, ML_HEARTBEAT, &h, timeout,
+		  heartbeat_done, call);
 }
 
 void fleet_send_heartbeats(struct fleet *f)
@@ -386,12 +386,12 @@
 static void heartbeat_serve(struct rpc_request *rq, const void *args, void *owner)
 {
 	struct fleet *f = owner;
-	struct vm_update news[PEERS_UPDATES_MAX];
+	struct vm_update updates[PEERS_UPDATES_MAX];
 	ml_vm_update wire[PEERS_UPDATES_MAX];
 	ml_heartbeat answer;
 
 	heartbeat_process(f, args);
-	heartbeat_make(f, &answer, news, wire);
+	heartbeat_make(f, &answer, updates, wire);
 	rpc_reply(rq, &answer);
 }
 
@@ -410,7 +410,7 @@
 	return TRUE;
 }
 
-/** Rounds of heartbeats that announce a leave; each reaches other VMs. */
+/** Rounds of heartbeats that announce that this VM leaves; each is sent to newly picked VMs. */
 #define LEAVE_ROUNDS 4
 
 static void fleet_drain(struct service *s)
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -35,7 +35,8 @@
 	void (*stop)(struct fleet *f);
 	/**
 	 * Whether this VM is certainly still on the list that its peers have. If NULL, a removed VM
-	 * has SHARE_DELIST_GRACE_US to receive the new list before its shares are given to others.
+	 * has SHARE_DELIST_GRACE_US to receive the new list before its shares of the teams' rates
+	 * are given to others.
 	 */
 	bool (*listed)(struct fleet *f);
 	/** Reads everything again, since changes were missed. */
@@ -53,7 +54,7 @@
 typedef void (*fleet_changed)(void *owner);
 
 #define FLEET_LISTENERS_MAX 8
-/** Maximum number of data centres; VMs of further ones are not counted by data centre. */
+/** Maximum number of data centres; those beyond it are left out of fleet.data_center. */
 #define FLEET_DATA_CENTERS_MAX 16
 
 /** A fixed part of the teams' rates and the VM that holds it, from the list of VMs (parts.h). */
@@ -101,29 +102,30 @@
 struct service *fleet_service_create(struct kernel *k);
 struct fleet *fleet_of(struct kernel *k);
 void fleet_listen(struct fleet *f, fleet_changed cb, void *owner);
-/** RPC address of the member's home; NULL if none is known. */
+/** Returns the RPC address of the member's home; NULL if none is known. */
 const char *fleet_home_address(struct fleet *f, const char *pool, const char *member);
 /** Whether @a data_center has a usable VM, which can be home to its members. */
 bool fleet_has_usable_vm(struct fleet *f, const char *data_center);
 /** Whether @a data_center has a listed VM. */
 bool fleet_has_listed_vm(const struct fleet *f, const char *data_center);
 bool fleet_home_is_self(struct fleet *f, const char *pool, const struct conf_member *m);
-/** RPC address of the VM in the whole fleet that holds @a role; NULL if none is known. */
+/** Returns the RPC address of the VM that holds @a role in the fleet; NULL if none is known. */
 const char *fleet_holder_address(struct fleet *f, const char *role);
-/** RPC address of the VM in this data centre that holds @a role; NULL if none is known. */
+/** Returns the RPC address of the VM in this data centre that holds @a role; NULL if none does. */
 const char *fleet_local_holder_address(struct fleet *f, const char *role);
 /** Marks the VM at @a address as suspect after a failed call, until it answers again. */
 void fleet_suspect(struct fleet *f, const char *address);
-/** Whether its peers certainly still have this VM on their list. */
+/** Whether this VM is certainly still on its peers' lists of VMs. */
 bool fleet_confirmed_listed(struct fleet *f);
-/** The part and its last known holder; NULL if nobody holds it. */
+/** Returns the part @a index of @a data_center with its last known holder; NULL if it has none. */
 const struct fleet_part *fleet_part(const struct fleet *f, const char *data_center, unsigned index);
-/** Time since the configuration was last confirmed to be current. */
+/** Returns the time since the configuration was last confirmed to be current. */
 int64_t fleet_conf_age_us(const struct fleet *f);
 /** Writes the membership and versions for `mangoloom status`. */
 void fleet_json(struct fleet *f, JsonBuilder *b);
 
 /* fleet-conf.c */
+
 /** Whether this VM is one of the few in its data centre that watch the store. */
 bool fleet_is_watcher(struct fleet *f);
 /** Rank of this VM among the usable VMs of its data centre; the lowest ranks watch the store. */
@@ -137,12 +139,15 @@
 void fleet_on_fetch_retry(evutil_socket_t fd, short what, void *arg);
 /** Fetches a newer configuration or list of VMs from the peer at @a address. */
 void fleet_fetch_from(struct fleet *f, const char *address);
+
 /* fleet-list.c */
+
 GHashTable *fleet_list_create(void);
 /** Stores a list entry, unless a newer one is known; @a value is NULL if it was removed. */
 void fleet_list_put(struct fleet *f, const char *key, const char *value, uint64_t revision);
-/** Completes a full list of @a revision: removes the entries whose keys are not in @a named. */
-void fleet_list_remove_unlisted(struct fleet *f, GHashTable *named, uint64_t revision);
+/** Completes a full list of @a revision: removes the entries whose keys are not in @a listed_keys.
+ */
+void fleet_list_remove_unlisted(struct fleet *f, GHashTable *listed_keys, uint64_t revision);
 /** Puts the list in force as of @a revision; an older one is ignored. */
 void fleet_list_publish(struct fleet *f, uint64_t revision);
 /** Puts a full list of VMs, a JSON array, in force; an older one is ignored. */
@@ -153,6 +158,7 @@
 void fleet_list_apply_changes(struct fleet *f, const ml_conf_res *res);
 
 /* fleet.c */
+
 /** Calls the listeners. */
 void fleet_notify(struct fleet *f);
 /** Recomputes roles after a change of the membership, and calls the listeners. */
--- a/src/owner.c
+++ b/src/owner.c
@@ -498,7 +498,7 @@
 	rpc_on_closed(r, tx_closed, o);
 	fleet_listen(fleet_of(s->kernel), conf_changed, o);
 	record_listen(o);
-	fleet_store_on_era(owner_caught_up, o);
+	fleet_store_set_caught_up_cb(owner_caught_up, o);
 	o->tick = kernel_every(s->kernel, TICK_US, on_tick, o);
 	return TRUE;
 }
--- a/src/platform.c
+++ b/src/platform.c
@@ -378,6 +378,7 @@
 	w->arg = arg;
 	w->line = g_string_new(NULL);
 	conn = open_endpoint(p);
+	/* A watch may be silent for any time, so it gets the longest time-out. */
 	evhttp_connection_set_timeout(conn, G_MAXINT32 / 1000);
 	evhttp_connection_free_on_completion(conn);
 	json_object_set_string_member(create, "start_revision", start);
--- a/src/platform.h
+++ b/src/platform.h
@@ -1,7 +1,7 @@
 /**
  * @file platform.h
- * Client of etcd's version 3 API through its JSON gateway. It distributes the configuration and the
- * list of VMs; statements never wait for it.
+ * Client of etcd's version 3 API through its JSON gateway. The configuration and the list of VMs
+ * are read from etcd; statements never wait for it.
  */
 #ifndef PLATFORM_H
 #define PLATFORM_H
@@ -10,7 +10,10 @@
 
 #include <json-glib/json-glib.h>
 
-/** Keys. The configuration is under PLATFORM_CONF; the platform writes PLATFORM_VMS. */
+/**
+ * Keys. The configuration is under PLATFORM_CONF: its version in PLATFORM_HEAD, each entry under
+ * PLATFORM_ENTRY and its id. The platform writes PLATFORM_VMS, the list of VMs.
+ */
 #define PLATFORM_CONF "mangoloom/conf/"
 #define PLATFORM_CONF_END "mangoloom/conf0"
 #define PLATFORM_HEAD "mangoloom/conf/head"
--- a/src/promoter.h
+++ b/src/promoter.h
@@ -15,11 +15,13 @@
 	PROMOTER_UNKNOWN, /**< no answer: the promotion may still take place */
 };
 
+/** @param code HTTP status; 0 without an answer */
 typedef void (*promoter_done)(enum promoter_result result, int code, void *arg);
 
 struct promoter_ops {
 	/**
-	 * Promotes @a member of @a pool, with the fencing @a token that @a holder has.
+	 * Promotes @a member of @a pool on behalf of the VM @a holder, the pool's owner, with its
+	 * fencing @a token.
 	 */
 	void (*promote)(struct kernel *k, const char *address, const char *pool, const char *member,
 			const char *holder, uint64_t token, int64_t timeout_us, promoter_done cb,
--- a/src/records.h
+++ b/src/records.h
@@ -1,9 +1,9 @@
 /**
  * @file records.h
  * Parsers for what operators and backend servers write to the store. Operators write one document
- * with routes, teams, keys and pools; each backend server, which runs one database member, writes a
- * record of its own. An implementation defines the keys and formats. A malformed record is logged
- * and skipped; the others are used.
+ * with routes, teams, API keys and pools; each backend server, which runs one database member,
+ * writes a record of its own. An implementation defines the store keys and formats. A malformed
+ * record is logged and skipped; the others are used.
  */
 #ifndef RECORDS_H
 #define RECORDS_H
@@ -22,7 +22,7 @@
 /** The operators' document. */
 struct records_document {
 	uint64_t version;   /**< set by the operators */
-	GPtrArray *entries; /**< of conf_entry: routes, teams and keys */
+	GPtrArray *entries; /**< of conf_entry: routes, teams and API keys */
 	GArray *pools;	    /**< of records_pool */
 };
 
--- a/src/store.h
+++ b/src/store.h
@@ -92,8 +92,8 @@
 /** First field of each implementation's store. */
 struct store {
 	const struct store_ops *ops;
-	store_era_cb era; /**< may be NULL */
-	void *era_arg;
+	store_era_cb on_era; /**< may be NULL */
+	void *on_era_arg;
 };
 
 #endif
--- a/tests/harness-owner.c
+++ b/tests/harness-owner.c
@@ -30,7 +30,7 @@
 static void fake_order(struct member_conn *c, enum member_order order, uint64_t term,
 		       member_order_done cb)
 {
-	((struct fake_conn *)c)->told = cb;
+	((struct fake_conn *)c)->order_done = cb;
 }
 
 static void fake_close(struct member_conn *c)
@@ -265,7 +265,7 @@
 	for (i = 0; i < fake.n_conns; i++) {
 		struct fake_conn *f = fake.conns[i];
 		struct member_status st = {.term = 1, .received = {1, lsn}};
-		member_order_done told = f->told;
+		member_order_done order_done = f->order_done;
 
 		if (f->closed)
 			continue;
@@ -274,12 +274,12 @@
 
 			f->opened = NULL;
 			opened(&f->conn, MEMBER_DONE, st.received, f->arg);
-			told = f->told;
+			order_done = f->order_done;
 		}
 		st.primary = strcmp(f->id, "m0") == 0;
-		f->told = NULL;
-		if (told != NULL)
-			told(&f->conn, MEMBER_DONE, &st, f->arg);
+		f->order_done = NULL;
+		if (order_done != NULL)
+			order_done(&f->conn, MEMBER_DONE, &st, f->arg);
 	}
 }
 
--- a/tests/harness-owner.h
+++ b/tests/harness-owner.h
@@ -21,7 +21,7 @@
 	char id[NAME_SIZE];
 	member_opened opened;
 	member_answered answered;
-	member_order_done told;
+	member_order_done order_done;
 	member_closed ended;
 	void *arg;
 	bool closed; /**< closed by the owner service */
--- a/tests/test-evacuation.c
+++ b/tests/test-evacuation.c
@@ -6,6 +6,7 @@
 #include <string.h>
 
 #define EVACUATED_DC "far"
+/** Value of ml_run_args.begin for a statement outside a transaction. */
 #define NO_BEGIN STATEMENT_READ
 
 static void move_first(struct conf_pool *pool, const char *data_center)
@@ -47,7 +48,7 @@
 }
 
 /** Runs the event loop for @a ms while the replicas report @a lsn and the primary m0 reports 10. */
-static void turn_for(struct world *w, uint64_t lsn, int ms)
+static void run_loop_for(struct world *w, uint64_t lsn, int ms)
 {
 	int64_t until = test_now_ms() + ms;
 	unsigned i;
@@ -59,15 +60,15 @@
 			bool first = strcmp(f->id, "m0") == 0;
 			struct member_status st = {.term = 1, .primary = first};
 			member_opened opened = f->opened;
-			member_order_done told = f->told;
+			member_order_done order_done = f->order_done;
 
 			st.received = (struct pos){1, first ? 10 : lsn};
 			f->opened = NULL;
-			f->told = NULL;
+			f->order_done = NULL;
 			if (!f->closed && opened != NULL)
 				opened(&f->conn, MEMBER_DONE, st.received, f->arg);
-			else if (!f->closed && told != NULL)
-				told(&f->conn, MEMBER_DONE, &st, f->arg);
+			else if (!f->closed && order_done != NULL)
+				order_done(&f->conn, MEMBER_DONE, &st, f->arg);
 		}
 	}
 }
@@ -121,12 +122,12 @@
 	g = world_serve(&w);
 	world_configure(&w, move_first, EVACUATED_DC);
 	evacuate(&w, EVACUATED_DC, true);
-	turn_for(&w, 9, 400);
+	run_loop_for(&w, 9, 400);
 	CHECK(g->state == OWNER_CHOOSING, "state %d", g->state);
 	g->member[0].evacuated_us -= 10 * USEC_PER_SEC;
-	turn_for(&w, 9, 1800);
+	run_loop_for(&w, 9, 1800);
 	CHECK(g->state == OWNER_CHOOSING, "state %d with its successor behind", g->state);
-	turn_for(&w, 10, 200);
+	run_loop_for(&w, 10, 200);
 	CHECK(g->state == OWNER_ORDERING, "state %d", g->state);
 	CU_ASSERT_STRING_NOT_EQUAL(g->record.target, "m0");
 	world_close(&w);
@@ -145,7 +146,7 @@
 	g = world_serve(&w);
 	world_configure(&w, move_all, EVACUATED_DC);
 	run(&w, STATEMENT_READ, STATEMENT_BEGIN_READ);
-	turn_for(&w, 10, 50);
+	run_loop_for(&w, 10, 50);
 	for (i = 0; i < fake.n_sent && i < 1; i++)
 		fake.sent_on[0]->answered(
 			&fake.sent_on[0]->conn,
@@ -162,10 +163,10 @@
 		&(struct member_answer){
 			.message = "", .signature = "", .rows = "", .state = TX_OPEN},
 		fake.sent_on[0]->arg);
-	turn_for(&w, 10, 100);
+	run_loop_for(&w, 10, 100);
 	CU_ASSERT_TRUE(TAILQ_EMPTY(&g->txs));
 	run(&w, STATEMENT_READ, NO_BEGIN);
-	turn_for(&w, 10, 900);
+	run_loop_for(&w, 10, 900);
 	CU_ASSERT_FALSE(was_sent_to("m0") || was_sent_to("m1") || was_sent_to("m2"));
 	CU_ASSERT_NOT_EQUAL(w.outcome, OUTCOME_DONE);
 	world_close(&w);
@@ -183,14 +184,14 @@
 	g = world_serve(&w);
 	world_configure(&w, move_all, EVACUATED_DC);
 	evacuate(&w, EVACUATED_DC, true);
-	turn_for(&w, 10, 100);
+	run_loop_for(&w, 10, 100);
 	CU_ASSERT_EQUAL(g->state, OWNER_SERVING);
 	g->member[0].evacuated_us -= 10 * USEC_PER_SEC;
-	turn_for(&w, 10, 300);
+	run_loop_for(&w, 10, 300);
 	run(&w, STATEMENT_WRITE, NO_BEGIN);
 	CU_ASSERT_EQUAL(w.outcome, OUTCOME_NOT_PRIMARY);
 	evacuate(&w, EVACUATED_DC, false);
-	turn_for(&w, 10, 200);
+	run_loop_for(&w, 10, 200);
 	CU_ASSERT_EQUAL(g->state, OWNER_SERVING);
 	CU_ASSERT_EQUAL(g->primary, 0);
 	CU_ASSERT_EQUAL(g->record.target[0], '\0');
@@ -206,7 +207,7 @@
 	struct owner_group *g;
 	int64_t start;
 	struct world w;
-	double most;
+	double limit;
 	unsigned i;
 
 	g = world_serve(&w);
@@ -215,11 +216,12 @@
 		world_configure(&w, make_cold, g->member[i].conf.name);
 	for (i = 0; i < 60; i++) {
 		run(&w, STATEMENT_READ, NO_BEGIN);
-		turn_for(&w, 10, 5);
+		run_loop_for(&w, 10, 5);
 	}
-	turn_for(&w, 10, 100);
-	most = 3 * (1 + 10 * (double)(test_now_ms() - start) / 1000);
-	CHECK(fake.n_sent > 3 && fake.n_sent <= most, "%u statements, not %.0f", fake.n_sent, most);
+	run_loop_for(&w, 10, 100);
+	limit = 3 * (1 + 10 * (double)(test_now_ms() - start) / 1000);
+	CHECK(fake.n_sent > 3 && fake.n_sent <= limit, "%u statements, not %.0f", fake.n_sent,
+	      limit);
 	world_close(&w);
 }
 
--- a/tests/test-list.c
+++ b/tests/test-list.c
@@ -73,9 +73,9 @@
 }
 
 /*
- * Guards against a removed VM that stays on a list forever, so that its tokens and roles are waited
- * for. A peer that started after the removal has no entry for it; to a VM whose list is older than
- * its own history, a peer must send the full list.
+ * Guards against a removed VM that stays on a peer's list forever, so that its share of the rates
+ * and its roles stay assigned to it. A peer that started after the removal has no record of it, so
+ * it must send its full list to a VM whose list is older than the changes that it knows.
  */
 static void test_entries_removed_before_peer_start_are_dropped(void)
 {
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -65,7 +65,8 @@
 	g_snprintf(id, sizeof(id), "key/%s", key.id);
 	e = find(&d, id);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(e);
-	CHECK(strstr(e->text, "k1") == NULL || strstr(e->text, "\"k1\"") == NULL, "no key is kept");
+	CHECK(strstr(e->text, "k1") == NULL || strstr(e->text, "\"k1\"") == NULL,
+	      "the API key is stored as plain text");
 	records_document_clear(&d);
 }
 
--- a/tests/test-store-list.c
+++ b/tests/test-store-list.c
@@ -14,7 +14,7 @@
 static uint64_t store_revision = STORE_REVISION;
 static uint64_t era;
 static unsigned n_lists, n_stale_lists, n_cancelled;
-/** Number of first lists that lack this VM's key. */
+/** The fake store's lists lack this VM's key until this number of lists was read. */
 static unsigned n_lists_without_vm;
 static store_done watch_done;
 static uint64_t document_version;
@@ -69,7 +69,7 @@
 	for (i = 0; i < G_N_ELEMENTS(items); i++)
 		items[i].revision = era_revision(era, items[i].revision);
 	if (era != 0)
-		s->era(era, s->era_arg);
+		s->on_era(era, s->on_era_arg);
 	n_lists++;
 	n_stale_lists += stale ? 1 : 0;
 	a.items = g_ptr_array_new();
@@ -196,7 +196,7 @@
 
 /*
  * Guards against a restarted VM that sends the full configuration to each peer that only lacks a
- * change of one server, and against a peer that is not told of the end of an evacuation.
+ * change of one server, and against a peer that is not sent the end of an evacuation.
  */
 static void test_restarted_vm_sends_only_changed_pools(void)
 {
@@ -236,8 +236,8 @@
 }
 
 /*
- * Guards against a withdrawn key that keeps working: the list after a failed watch was a stale read
- * from before the withdrawal.
+ * Guards against a withdrawn API key that keeps working: the list after a failed watch was a stale
+ * read from before the withdrawal.
  */
 static void test_a_list_after_a_broken_watch_is_not_stale(void)
 {
@@ -263,17 +263,17 @@
 	era = 1;
 	n_lists = n_cancelled = n_lists_without_vm = 0;
 	start_vm(&settings);
-	store_source.store->era(1, NULL);
+	store_source.store->on_era(1, NULL);
 	CU_ASSERT_EQUAL(n_lists, 1);
 	era = 2;
-	store_source.store->era(2, NULL);
+	store_source.store->on_era(2, NULL);
 	CU_ASSERT_EQUAL(n_cancelled, 1);
 	CU_ASSERT_EQUAL(n_lists, 2);
 	CU_ASSERT_EQUAL(store_source.synced_revision, era_revision(2, store_revision));
 	CU_ASSERT_FALSE(fleet_store_is_current(era_revision(1, 3)));
 	CU_ASSERT_TRUE(fleet_store_is_current(era_revision(2, 3)));
 	/* A late answer of the previous era is ignored. */
-	store_source.store->era(1, NULL);
+	store_source.store->on_era(1, NULL);
 	CU_ASSERT_TRUE(fleet_store_is_current(era_revision(2, 3)));
 	era = 0;
 }
@@ -302,14 +302,14 @@
 	source_publish();
 	CU_ASSERT_PTR_NOT_NULL(peers_find(&f->peers, "vm-2"));
 	era = 2;
-	store_source.store->era(2, NULL);
+	store_source.store->on_era(2, NULL);
 	CU_ASSERT_PTR_NOT_NULL(peers_find(&f->peers, "vm-2"));
 	CU_ASSERT_TRUE(conf_evacuated(f->conf, "dc"));
 	CU_ASSERT_TRUE(store_source.keeps_lost_keys);
 	CU_ASSERT_FALSE(fleet_store_settled(f));
 	store_source.era.since_us -= LEASE_TTL_US;
 	store_source.lease = 7;
-	store_source.lease_asked = false;
+	store_source.lease_call_pending = false;
 	store_source.registered = true;
 	store_source.lease_next_us = now_us() + USEC_PER_SEC;
 	CU_ASSERT_TRUE(fleet_store_settled(f));
@@ -331,7 +331,7 @@
 	f = start_vm_in_first_era(&settings);
 	store_source.lease = 7;
 	store_source.lease_era = 1;
-	store_source.lease_asked = false;
+	store_source.lease_call_pending = false;
 	event_base_loopexit(f->service.kernel->base, &tick);
 	event_base_dispatch(f->service.kernel->base);
 	CU_ASSERT_EQUAL(fleet_store_registration(f), 1);
@@ -342,7 +342,7 @@
 static void simulate_restore(void)
 {
 	era++;
-	store_source.store->era(era, NULL);
+	store_source.store->on_era(era, NULL);
 }
 
 /*
